--- a/src/quarantine/crash_evidence.cc
+++ b/src/quarantine/crash_evidence.cc
@@ -11,14 +11,14 @@
 
 using Runs = std::map<RequestIdentity, std::set<uint64_t>>;
 
-/// Whether the request was not there, and one of the accused, alone among them, was. Where several
-/// were there, none of them need have done it: in a crash loop everybody is there.
-bool EndedUnderOneOther(const Runs& runs, const RequestIdentity& identity,
-                        const std::set<RequestIdentity>& accused) {
-  const auto there = std::count_if(runs.begin(), runs.end(), [&accused](const auto& item) {
-    return accused.contains(item.first);
-  });
-  return there == 1 && !runs.contains(identity);
+/// Returns true if exactly one candidate was running at the leaf and it was not `identity`. With
+/// several candidates the crash cannot be attributed: in a crash loop every request is present.
+bool CrashedWithOneOtherCandidate(const Runs& runs, const RequestIdentity& identity,
+                                  const std::set<RequestIdentity>& candidates) {
+  const auto candidate_count =
+      std::count_if(runs.begin(), runs.end(),
+                    [&candidates](const auto& item) { return candidates.contains(item.first); });
+  return candidate_count == 1 && !runs.contains(identity);
 }
 
 }  // namespace
@@ -32,7 +32,7 @@
     return false;
   }
   last = {report.number, now};
-  if (reporters_.size() > options_.most_reporters) {
+  if (reporters_.size() > options_.max_reporters) {
     reporters_.erase(
         std::min_element(reporters_.begin(), reporters_.end(),
                          [](const auto& a, const auto& b) { return a.second.at < b.second.at; }));
@@ -44,81 +44,81 @@
   if (!IsNew(now, report)) {
     return;
   }
-  const Timestamp seen = now - std::clamp(report.age, Duration(0), options_.memory);
+  const Timestamp seen = now - std::clamp(report.age, Duration(0), options_.retention);
   for (const wire::LostRun& run : report.lost) {
-    NoteLost(seen, run);
+    RecordLost(seen, run);
   }
   for (const RequestIdentity& identity : report.succeeded) {
     Acquit(identity);
     succeeded_[identity] = now;
   }
   for (const std::string& leaf : report.answering) {
-    ends_.erase(ends_.lower_bound({leaf, 0}), ends_.upper_bound({leaf, next_end_}));
+    crashes_.erase(crashes_.lower_bound({leaf, 0}), crashes_.upper_bound({leaf, next_crash_}));
   }
   ++version_;
 }
 
-void CrashEvidence::NoteLost(Timestamp seen, const wire::LostRun& run) {
+void CrashEvidence::RecordLost(Timestamp seen, const wire::LostRun& run) {
   succeeded_.erase(run.identity);
-  auto& runs = EndOf(seen, run).runs;
-  if (runs.size() < options_.most_runs_per_leaf || runs.contains(run.identity)) {
+  auto& runs = FindOrAddCrash(seen, run).runs;
+  if (runs.size() < options_.max_runs_per_leaf || runs.contains(run.identity)) {
     runs[run.identity].insert(run.attempt);
   }
-  if (ends_.size() > options_.most_leafs) {
-    ends_.erase(std::min_element(ends_.begin(), ends_.end(), [](const auto& a, const auto& b) {
-      return a.second.at < b.second.at;
-    }));
+  if (crashes_.size() > options_.max_leafs) {
+    crashes_.erase(
+        std::min_element(crashes_.begin(), crashes_.end(),
+                         [](const auto& a, const auto& b) { return a.second.at < b.second.at; }));
   }
 }
 
-CrashEvidence::LeafEnd& CrashEvidence::EndOf(Timestamp seen, const wire::LostRun& run) {
-  const auto after = ends_.upper_bound({run.leaf, next_end_});
-  if (after != ends_.begin()) {
+CrashEvidence::LeafCrash& CrashEvidence::FindOrAddCrash(Timestamp seen, const wire::LostRun& run) {
+  const auto after = crashes_.upper_bound({run.leaf, next_crash_});
+  if (after != crashes_.begin()) {
     const auto last = std::prev(after);
-    // Reports of several processes on one end may be of different age.
+    // Several processes may report the same crash at different times.
     const bool same = last->first.first == run.leaf &&
-                      std::chrono::abs(seen - last->second.at) < options_.one_end;
+                      std::chrono::abs(seen - last->second.at) < options_.same_crash_window;
     if (same) {
       return last->second;
     }
   }
-  LeafEnd& end = ends_[{run.leaf, next_end_++}];
-  end.service = run.service;
-  end.at = seen;
-  return end;
+  LeafCrash& crash = crashes_[{run.leaf, next_crash_++}];
+  crash.service = run.service;
+  crash.at = seen;
+  return crash;
 }
 
 void CrashEvidence::Acquit(const RequestIdentity& identity) {
-  for (auto& [leaf, end] : ends_) {
-    end.runs.erase(identity);
+  for (auto& [leaf, crash] : crashes_) {
+    crash.runs.erase(identity);
   }
   ++version_;
 }
 
 void CrashEvidence::Tick(Timestamp now) {
-  const auto is_old = [&](Timestamp at) { return now - at > options_.memory; };
+  const auto is_old = [&](Timestamp at) { return now - at > options_.retention; };
   const size_t forgotten =
-      std::erase_if(ends_, [&](const auto& item) { return is_old(item.second.at); }) +
+      std::erase_if(crashes_, [&](const auto& item) { return is_old(item.second.at); }) +
       std::erase_if(succeeded_, [&](const auto& item) { return is_old(item.second); });
   std::erase_if(reporters_, [&](const auto& item) { return is_old(item.second.at); });
   version_ += forgotten > 0 ? 1 : 0;
 }
 
-Verdict CrashEvidence::Judge(const RequestIdentity& identity, const LeafEnds& unexplained,
-                             const std::set<RequestIdentity>& accused) const {
+Verdict CrashEvidence::Evaluate(const RequestIdentity& identity, const LeafCrashes& unexplained,
+                                const std::set<RequestIdentity>& candidates) const {
   Verdict verdict{.identity = identity};
   std::set<uint64_t> attempts;
   std::set<std::string> services;
   std::vector<Timestamp> times;
-  for (const auto& [leaf, end] : unexplained) {
-    const auto runs = end->runs.find(identity);
-    if (runs == end->runs.end()) {
+  for (const auto& [leaf, crash] : unexplained) {
+    const auto runs = crash->runs.find(identity);
+    if (runs == crash->runs.end()) {
       continue;
     }
     ++verdict.leafs;
     attempts.insert(runs->second.begin(), runs->second.end());
-    services.insert(end->service);
-    times.push_back(end->at);
+    services.insert(crash->service);
+    times.push_back(crash->at);
   }
   if (times.empty()) {
     return verdict;
@@ -127,23 +127,23 @@
   const Timestamp last = *std::max_element(times.begin(), times.end());
   const auto meanwhile =
       std::count_if(unexplained.begin(), unexplained.end(), [&](const auto& item) {
-        const LeafEnd& end = *item.second;
-        const bool meanwhile = end.at >= first && end.at <= last;
-        return services.contains(end.service) && meanwhile &&
-               !EndedUnderOneOther(end.runs, identity, accused);
+        const LeafCrash& crash = *item.second;
+        const bool meanwhile = crash.at >= first && crash.at <= last;
+        return services.contains(crash.service) && meanwhile &&
+               !CrashedWithOneOtherCandidate(crash.runs, identity, candidates);
       });
   verdict.attempts = attempts.size();
   verdict.share = static_cast<double>(verdict.leafs) / static_cast<double>(meanwhile);
-  verdict.moments = CountMoments(std::move(times));
+  verdict.moments = CountTimePoints(std::move(times));
   return verdict;
 }
 
-size_t CrashEvidence::CountMoments(std::vector<Timestamp> times) const {
+size_t CrashEvidence::CountTimePoints(std::vector<Timestamp> times) const {
   std::sort(times.begin(), times.end());
   size_t moments = 0;
   Timestamp begun{};
   for (const Timestamp time : times) {
-    if (moments == 0 || time - begun >= options_.moment_gap) {
+    if (moments == 0 || time - begun >= options_.time_point_gap) {
       begun = time;
       ++moments;
     }
@@ -151,77 +151,79 @@
   return moments;
 }
 
-bool CrashEvidence::Suffices(const Verdict& verdict,
-                             const std::set<RequestIdentity>& offenders) const {
-  if (offenders.contains(verdict.identity)) {
+bool CrashEvidence::IsSufficient(const Verdict& verdict,
+                                 const std::set<RequestIdentity>& known_fatal) const {
+  if (known_fatal.contains(verdict.identity)) {
     return verdict.leafs > 0;
   }
   return verdict.leafs >= options_.leafs && verdict.attempts >= options_.attempts &&
          verdict.moments >= options_.moments && verdict.share >= options_.share;
 }
 
-std::map<RequestIdentity, CrashEvidence::Presence> CrashEvidence::Presences() const {
-  std::map<RequestIdentity, Presence> presences;
-  for (const auto& [leaf, end] : ends_) {
-    for (const auto& [identity, attempts] : end.runs) {
-      Presence& presence = presences[identity];
-      ++presence.leafs;
-      presence.attempts.insert(attempts.begin(), attempts.end());
+std::map<RequestIdentity, CrashEvidence::Occurrence> CrashEvidence::Occurrences() const {
+  std::map<RequestIdentity, Occurrence> occurrences;
+  for (const auto& [leaf, crash] : crashes_) {
+    for (const auto& [identity, attempts] : crash.runs) {
+      Occurrence& occurrence = occurrences[identity];
+      ++occurrence.leafs;
+      occurrence.attempts.insert(attempts.begin(), attempts.end());
     }
   }
-  return presences;
+  return occurrences;
 }
 
 std::set<RequestIdentity> CrashEvidence::Suspects() const {
   std::set<RequestIdentity> suspects;
-  for (const auto& [identity, presence] : Presences()) {
-    if (presence.leafs >= options_.leafs) {
+  for (const auto& [identity, occurrence] : Occurrences()) {
+    if (occurrence.leafs >= options_.leafs) {
       suspects.insert(identity);
     }
   }
   return suspects;
 }
 
-std::set<RequestIdentity> CrashEvidence::Accused(const std::set<RequestIdentity>& offenders) const {
-  std::set<RequestIdentity> accused;
+std::set<RequestIdentity> CrashEvidence::Candidates(
+    const std::set<RequestIdentity>& known_fatal) const {
+  std::set<RequestIdentity> candidates;
   std::multimap<size_t, RequestIdentity, std::greater<>> by_leafs;
-  for (const auto& [identity, presence] : Presences()) {
-    if (offenders.contains(identity)) {
-      accused.insert(identity);
-    } else if (presence.leafs >= options_.leafs && presence.attempts.size() >= options_.attempts) {
-      by_leafs.emplace(presence.leafs, identity);
+  for (const auto& [identity, occurrence] : Occurrences()) {
+    if (known_fatal.contains(identity)) {
+      candidates.insert(identity);
+    } else if (occurrence.leafs >= options_.leafs &&
+               occurrence.attempts.size() >= options_.attempts) {
+      by_leafs.emplace(occurrence.leafs, identity);
     }
   }
   for (const auto& [leafs, identity] : by_leafs) {
-    if (accused.size() >= options_.most_accused) {
+    if (candidates.size() >= options_.max_candidates) {
       break;
     }
-    accused.insert(identity);
+    candidates.insert(identity);
   }
-  return accused;
+  return candidates;
 }
 
-std::vector<Verdict> CrashEvidence::Guilty(const std::set<RequestIdentity>& offenders) const {
-  std::set<RequestIdentity> accused = Accused(offenders);
-  LeafEnds unexplained;
-  for (const auto& [leaf, end] : ends_) {
-    unexplained[leaf] = &end;
+std::vector<Verdict> CrashEvidence::Guilty(const std::set<RequestIdentity>& known_fatal) const {
+  std::set<RequestIdentity> candidates = Candidates(known_fatal);
+  LeafCrashes unexplained;
+  for (const auto& [leaf, crash] : crashes_) {
+    unexplained[leaf] = &crash;
   }
-  std::vector<Verdict> guilty;
+  std::vector<Verdict> confirmed;
   while (true) {
     std::optional<Verdict> worst;
-    for (const RequestIdentity& identity : accused) {
-      const Verdict verdict = Judge(identity, unexplained, accused);
+    for (const RequestIdentity& identity : candidates) {
+      const Verdict verdict = Evaluate(identity, unexplained, candidates);
       const bool worse = !worst.has_value() || verdict.leafs > worst->leafs;
-      if (worse && Suffices(verdict, offenders)) {
+      if (worse && IsSufficient(verdict, known_fatal)) {
         worst = verdict;
       }
     }
     if (!worst.has_value()) {
-      return guilty;
+      return confirmed;
     }
-    guilty.push_back(*worst);
-    accused.erase(worst->identity);
+    confirmed.push_back(*worst);
+    candidates.erase(worst->identity);
     std::erase_if(unexplained,
                   [&](const auto& item) { return item.second->runs.contains(worst->identity); });
   }
--- a/src/quarantine/crash_evidence.h
+++ b/src/quarantine/crash_evidence.h
@@ -1,7 +1,8 @@
-// Which requests end the leafs that run them, judged by what all gateways and nodes report. A
-// request that was merely there is told from the one that did it: whoever succeeds anywhere is
-// innocent, a leaf's end is put down to the request that explains most ends, and the rest must be
-// enough by itself. No clock.
+// Finds fatal requests, those that crash the leafs that run them, from the reports of all gateways
+// and nodes. Three rules keep requests that only ran at the same time from being blamed: a request
+// that succeeds anywhere is cleared, each crash is attributed to the request that explains the most
+// crashes, and the crashes left over must be sufficient evidence by themselves. Does not read a
+// clock.
 #pragma once
 
 #include <cstdint>
@@ -18,39 +19,41 @@
 namespace pumicedyke::quarantine {
 
 struct EvidenceOptions {
-  /// What was reported is forgotten after this.
-  Duration memory = Seconds(600);
-  /// Leafs that are remembered, the oldest are forgotten first; and requests at each of them.
-  size_t most_leafs = 8192;
-  size_t most_runs_per_leaf = 64;
-  /// Processes whose reports are told from ones that come again; the oldest are forgotten first.
-  size_t most_reporters = 16384;
-  /// Requests that are judged at a time, those at most leafs first.
-  size_t most_accused = 32;
-  /// Runs that are lost at one leaf within this time are lost by one end of it. Later it has ended
-  /// again: leafs with names of their own come back under them.
-  Duration one_end = Seconds(1);
-  /// A request is guilty if this many leafs ended while they had it ...
+  /// Reports older than this are discarded.
+  Duration retention = Seconds(600);
+  /// Maximum number of recorded crashes (the oldest are evicted first), and of requests per crash.
+  size_t max_leafs = 8192;
+  size_t max_runs_per_leaf = 64;
+  /// Maximum number of processes whose repeated reports are recognized; the oldest are evicted
+  /// first.
+  size_t max_reporters = 16384;
+  /// Maximum number of requests evaluated at a time; those at the most crashed leafs come first.
+  size_t max_candidates = 32;
+  /// Runs lost at one leaf within this window belong to the same crash. Later losses count as
+  /// another crash, since leafs with fixed names restart under them.
+  Duration same_crash_window = Seconds(1);
+  /// A request is confirmed as fatal if at least this many leafs crashed while running it ...
   size_t leafs = 3;
-  /// ... in this many attempts of clients: two may be one client's bad luck in a crash that has
-  /// nothing to do with it ...
+  /// ... in at least this many client attempts: two attempts of one client may coincide with an
+  /// unrelated crash ...
   size_t attempts = 3;
-  /// ... at this many moments, so far apart: when everything crashes at once, whoever has asked
-  /// several times was there with all of it ...
+  /// ... at least at this many points in time, separated by the gap: when all leafs crash at once,
+  /// a client that has sent several attempts is present with all of them ...
   size_t moments = 2;
-  Duration moment_gap = Milliseconds(500);
-  /// ... and it was at this part of all leafs of its services that ended meanwhile, but for those
-  /// that ended under one other accused request alone: several may be guilty at the same time.
+  Duration time_point_gap = Milliseconds(500);
+  /// ... and it was running at this share of the leafs of its services that crashed in the
+  /// meantime. Crashes with exactly one other candidate are left out: several requests may be fatal
+  /// at the same time.
   double share = 0.5;
 };
 
-/// Why a request is found guilty.
+/// The evidence on which a request is confirmed as fatal.
 struct Verdict {
   RequestIdentity identity;
   size_t leafs = 0;
   size_t attempts = 0;
   size_t moments = 0;
-  /// Part of the ends of its services' leafs, in its time, that it explains.
+  /// Share of the crashes of its services' leafs, between its first and last one, that it explains.
   double share = 0;
 };
 
@@ -58,61 +61,63 @@
  public:
   explicit CrashEvidence(EvidenceOptions options) : options_(options) {}
 
-  /// A report that has come before, or that a later one of the same process overtook, is passed
-  /// over.
+  /// Records a report. Ignores repeated reports and those overtaken by a later one of the same
+  /// process.
   void OnReport(Timestamp now, const wire::RunReport& report);
   void Tick(Timestamp now);
-  /// What is held against the request counts no more.
+  /// Discards the evidence against the request.
   void Acquit(const RequestIdentity& identity);
 
-  /// @param offenders requests that were found guilty before: one more leaf is enough.
-  std::vector<Verdict> Guilty(const std::set<RequestIdentity>& offenders) const;
-  /// Requests that were at enough leafs that ended, in however few attempts: they may be guilty.
+  /// Returns the requests that are confirmed as fatal.
+  /// @param known_fatal requests confirmed earlier, for which one more crash is sufficient.
+  std::vector<Verdict> Guilty(const std::set<RequestIdentity>& known_fatal) const;
+  /// Returns the requests that were running at enough crashed leafs, regardless of the number of
+  /// attempts.
   std::set<RequestIdentity> Suspects() const;
-  /// Whether the request has succeeded somewhere after it was last seen to lose a run.
+  /// Whether the request has succeeded since its last lost run.
   bool HasSucceeded(const RequestIdentity& identity) const { return succeeded_.contains(identity); }
-  /// Counts changes of what is known.
+  /// Rises with each change of the evidence.
   uint64_t version() const { return version_; }
-  size_t leafs() const { return ends_.size(); }
+  size_t leafs() const { return crashes_.size(); }
 
  private:
-  /// What was in flight at a leaf when its connections ended.
-  struct LeafEnd {
+  /// The requests in flight at a leaf when its connections were lost.
+  struct LeafCrash {
     std::string service;
     Timestamp at{};
-    /// Attempts, by request.
+    /// Attempts by request.
     std::map<RequestIdentity, std::set<uint64_t>> runs;
   };
-  /// A leaf and the number of its end.
-  using EndKey = std::pair<std::string, uint64_t>;
-  using LeafEnds = std::map<EndKey, const LeafEnd*>;
+  /// A leaf and the sequence number of its crash.
+  using CrashKey = std::pair<std::string, uint64_t>;
+  using LeafCrashes = std::map<CrashKey, const LeafCrash*>;
 
   struct LastReport {
     uint64_t number = 0;
     Timestamp at{};
   };
 
-  /// Whether the report is the latest of its process.
+  /// Returns true if the report is newer than all earlier ones of its process.
   bool IsNew(Timestamp now, const wire::RunReport& report);
-  void NoteLost(Timestamp seen, const wire::LostRun& run);
-  /// The end of the leaf that is happening now.
-  LeafEnd& EndOf(Timestamp seen, const wire::LostRun& run);
-  /// What one request was there for.
-  struct Presence {
+  void RecordLost(Timestamp seen, const wire::LostRun& run);
+  /// Returns the record of the crash to which the lost run belongs; creates it if necessary.
+  LeafCrash& FindOrAddCrash(Timestamp seen, const wire::LostRun& run);
+  /// The crashes during which one request was running.
+  struct Occurrence {
     size_t leafs = 0;
     std::set<uint64_t> attempts;
   };
-  std::map<RequestIdentity, Presence> Presences() const;
-  /// Requests that may be guilty, before any end is put down to another one.
-  std::set<RequestIdentity> Accused(const std::set<RequestIdentity>& offenders) const;
-  Verdict Judge(const RequestIdentity& identity, const LeafEnds& unexplained,
-                const std::set<RequestIdentity>& accused) const;
-  size_t CountMoments(std::vector<Timestamp> times) const;
-  bool Suffices(const Verdict& verdict, const std::set<RequestIdentity>& offenders) const;
+  std::map<RequestIdentity, Occurrence> Occurrences() const;
+  /// Returns the requests that may be fatal, before any crash is attributed to one of them.
+  std::set<RequestIdentity> Candidates(const std::set<RequestIdentity>& known_fatal) const;
+  Verdict Evaluate(const RequestIdentity& identity, const LeafCrashes& unexplained,
+                   const std::set<RequestIdentity>& candidates) const;
+  size_t CountTimePoints(std::vector<Timestamp> times) const;
+  bool IsSufficient(const Verdict& verdict, const std::set<RequestIdentity>& known_fatal) const;
 
   EvidenceOptions options_;
-  std::map<EndKey, LeafEnd> ends_;
-  uint64_t next_end_ = 1;
+  std::map<CrashKey, LeafCrash> crashes_;
+  uint64_t next_crash_ = 1;
   std::map<RequestIdentity, Timestamp> succeeded_;
   std::map<uint64_t, LastReport> reporters_;
   uint64_t version_ = 0;
--- a/src/quarantine/report_sender.h
+++ b/src/quarantine/report_sender.h
@@ -1,5 +1,6 @@
-// Tells control of lost runs until it has taken each report: whoever it is told to may be gone, and
-// what is told once to a machine that is gone is missing wherever requests are judged. No clock.
+// Sends each report of lost runs to the control machines until one has acknowledged it. A report
+// that is sent only once is lost if the receiving machine stops, and then the evidence against
+// fatal requests is incomplete. Does not read a clock.
 #pragma once
 
 #include <cstdint>
@@ -12,47 +13,46 @@
 namespace pumicedyke::quarantine {
 
 struct ReportSenderOptions {
-  /// A report that was not taken is told again after this, then each time after twice as long.
-  Duration first_repeat = Milliseconds(200);
-  Duration longest_repeat = Seconds(5);
-  /// Reports that wait; when there are more the oldest is dropped.
-  size_t most_waiting = 256;
+  /// Delay before an unacknowledged report is sent again; doubles with each repetition.
+  Duration initial_repeat = Milliseconds(200);
+  Duration max_repeat = Seconds(5);
+  /// Maximum number of pending reports; beyond it the oldest is dropped.
+  size_t max_pending = 256;
 };
 
-/// Tells one report at a time, so that they arrive in their order. Lives on the event loop's
-/// thread.
+/// Sends one report at a time, so that they arrive in order. Used on the event loop's thread only.
 class ReportSender {
  public:
-  /// @param reporter names this life of this process among all that report.
+  /// @param reporter identifies this incarnation of the process among all reporters.
   explicit ReportSender(uint64_t reporter, ReportSenderOptions options = {})
       : reporter_(reporter), options_(options) {}
 
   void Add(Timestamp now, wire::RunReport report);
-  /// @return the report to tell now, if one is due.
+  /// Returns the report to send now, if one is due.
   std::optional<wire::RunReport> TakeDue(Timestamp now);
-  /// A control machine has taken the report of this number.
+  /// A control machine has acknowledged the report with this number.
   void OnTaken(uint64_t number);
-  /// The machine that was told may be gone: tells again at once.
+  /// Makes the pending report due at once, since the machine that received it may have stopped.
   void RepeatNow() { next_ = Timestamp{}; }
-  /// When TakeDue() has something next; unset: nothing waits.
+  /// When TakeDue() returns the next report; unset if none is pending.
   std::optional<Timestamp> next() const {
-    return waiting_.empty() ? std::nullopt : std::optional(next_);
+    return pending_.empty() ? std::nullopt : std::optional(next_);
   }
-  /// Reports that were dropped because too many waited.
+  /// Number of reports dropped because too many were pending.
   uint64_t dropped() const { return dropped_; }
 
  private:
-  struct Waiting {
+  struct PendingReport {
     wire::RunReport report;
     Timestamp seen{};
   };
 
   uint64_t reporter_;
   ReportSenderOptions options_;
-  std::deque<Waiting> waiting_;
+  std::deque<PendingReport> pending_;
   uint64_t last_number_ = 0;
   uint64_t dropped_ = 0;
-  /// When the first one is due, and how long after that it is told again.
+  /// When the first pending report is due, and the delay until it is sent again after that.
   Timestamp next_{};
   Duration repeat_{};
 };
--- a/src/quarantine/run_witness.cc
+++ b/src/quarantine/run_witness.cc
@@ -19,60 +19,59 @@
   const Run run = std::move(found->second);
   runs_.erase(found);
   const bool succeeded = reply.status == query::LeafStatus::kOk;
-  // Another leaf at the same address refuses, too, but with other words.
+  // Another leaf at the same address would also refuse, but with another status.
   const bool answered =
       succeeded || reply.status == query::LeafStatus::kShed || reply.payload != nullptr;
   if (reply.connection_lost) {
-    NoteLost(now, run);
+    RecordLost(now, run);
   } else if (answered) {
-    NoteAnswer(run, succeeded);
+    RecordAnswer(run, succeeded);
   }
 }
 
-void RunWitness::NoteLost(Timestamp now, const Run& run) {
+void RunWitness::RecordLost(Timestamp now, const Run& run) {
   Suspect& suspect = suspects_[run.identity];
-  suspect.harmless = false;
+  suspect.cleared = false;
   suspect.leafs.insert(run.leaf);
   suspect.last_lost = now;
   lost_at_[run.leaf] = now;
   Report().lost.push_back({run.identity, run.attempt, run.leaf, run.service});
-  Forget(now);
+  DiscardOld(now);
 }
 
-void RunWitness::NoteAnswer(const Run& run, bool succeeded) {
+void RunWitness::RecordAnswer(const Run& run, bool succeeded) {
   const auto lost = lost_at_.find(run.leaf);
-  const bool lives = options_.names_are_lives && lost != lost_at_.end() && run.sent > lost->second;
-  if (lives) {
+  const bool alive = options_.names_are_lives && lost != lost_at_.end() && run.sent > lost->second;
+  if (alive) {
     Report().answering.push_back(run.leaf);
     lost_at_.erase(lost);
   }
   if (succeeded) {
-    NoteSuccess(run.identity);
+    RecordSuccess(run.identity);
   }
 }
 
-void RunWitness::NoteSuccess(const RequestIdentity& identity) {
-  const bool warned_of = warned_of_.erase(identity) > 0;
+void RunWitness::RecordSuccess(const RequestIdentity& identity) {
+  const bool warned = warnings_.erase(identity) > 0;
   const auto suspect = suspects_.find(identity);
-  const bool suspected = suspect != suspects_.end() && !suspect->second.harmless;
+  const bool suspected = suspect != suspects_.end() && !suspect->second.cleared;
   if (suspected) {
-    suspect->second.harmless = true;
+    suspect->second.cleared = true;
     suspect->second.leafs.clear();
   }
-  if (suspected || warned_of) {
+  if (suspected || warned) {
     Report().succeeded.push_back(identity);
   }
 }
 
 void RunWitness::OnWarned(Timestamp now, const std::vector<RequestIdentity>& requests) {
-  std::erase_if(warned_of_,
-                [&](const auto& item) { return now - item.second >= options_.warning; });
+  std::erase_if(warnings_, [&](const auto& item) { return now - item.second >= options_.warning; });
   for (const RequestIdentity& request : requests) {
     const auto suspect = suspects_.find(request);
-    if (suspect != suspects_.end() && suspect->second.harmless) {
+    if (suspect != suspects_.end() && suspect->second.cleared) {
       Report().succeeded.push_back(request);
-    } else if (warned_of_.size() < options_.most_suspects) {
-      warned_of_[request] = now;
+    } else if (warnings_.size() < options_.max_suspects) {
+      warnings_[request] = now;
     }
   }
 }
@@ -80,24 +79,25 @@
 void RunWitness::OnQuarantined(const std::set<RequestIdentity>& requests) {
   for (const RequestIdentity& request : requests) {
     const auto suspect = suspects_.find(request);
-    if (suspect != suspects_.end() && suspect->second.harmless) {
+    if (suspect != suspects_.end() && suspect->second.cleared) {
       Report().succeeded.push_back(request);
     }
   }
 }
 
 bool RunWitness::IsSuspect(Timestamp now, const RequestIdentity& identity) const {
-  const auto warning = warned_of_.find(identity);
-  if (warning != warned_of_.end() && now - warning->second < options_.warning) {
+  const auto warning = warnings_.find(identity);
+  if (warning != warnings_.end() && now - warning->second < options_.warning) {
     return true;
   }
   const auto suspect = suspects_.find(identity);
-  return suspect != suspects_.end() && suspect->second.leafs.size() >= options_.suspicious_leafs;
+  return suspect != suspects_.end() &&
+         suspect->second.leafs.size() >= options_.suspect_leaf_threshold;
 }
 
 bool RunWitness::IsAccused(const RequestIdentity& identity) const {
   const auto suspect = suspects_.find(identity);
-  return suspect != suspects_.end() && !suspect->second.harmless;
+  return suspect != suspects_.end() && !suspect->second.cleared;
 }
 
 std::optional<wire::RunReport> RunWitness::TakeReport() {
@@ -111,16 +111,16 @@
   return *report_;
 }
 
-void RunWitness::Forget(Timestamp now) {
-  const auto is_old = [&](Timestamp last) { return now - last > options_.memory; };
+void RunWitness::DiscardOld(Timestamp now) {
+  const auto is_old = [&](Timestamp last) { return now - last > options_.retention; };
   std::erase_if(suspects_, [&](const auto& item) { return is_old(item.second.last_lost); });
   std::erase_if(lost_at_, [&](const auto& item) { return is_old(item.second); });
-  while (suspects_.size() > options_.most_suspects) {
+  while (suspects_.size() > options_.max_suspects) {
     suspects_.erase(std::min_element(
         suspects_.begin(), suspects_.end(),
         [](const auto& a, const auto& b) { return a.second.last_lost < b.second.last_lost; }));
   }
-  while (lost_at_.size() > options_.most_leafs) {
+  while (lost_at_.size() > options_.max_leafs) {
     lost_at_.erase(
         std::min_element(lost_at_.begin(), lost_at_.end(),
                          [](const auto& a, const auto& b) { return a.second < b.second; }));
--- a/src/quarantine/run_witness.h
+++ b/src/quarantine/run_witness.h
@@ -1,6 +1,6 @@
-// What one process has seen of runs at leafs whose connection ended without an answer: it tells
-// control which requests were running there, which of these have since succeeded, and which leafs
-// live on after all. No clock.
+// Tracks the sub-requests of one process and reports to the control machines which requests lost
+// runs because the leaf's connection closed without an answer, which of these requests have since
+// succeeded, and which of the leafs are still alive. Does not read a clock.
 #pragma once
 
 #include <cstdint>
@@ -19,52 +19,54 @@
 namespace pumicedyke::quarantine {
 
 struct WitnessOptions {
-  /// What was seen is forgotten after this.
-  Duration memory = Seconds(600);
-  /// A warning counts for so long: it may be of a request that was merely there.
+  /// Observations older than this are discarded.
+  Duration retention = Seconds(600);
+  /// Lifetime of a warning. It is short because the request may only have run at the same time.
   Duration warning = Seconds(60);
-  /// Requests and leafs that are remembered; the oldest are forgotten first.
-  size_t most_suspects = 512;
-  size_t most_leafs = 4096;
-  /// A request that lost runs at this many leafs and never succeeded is tried at one leaf first.
-  size_t suspicious_leafs = 3;
-  /// A leaf's name is that of one life of it: one that answers again has not ended.
+  /// Maximum numbers of tracked requests and leafs; the oldest are evicted first.
+  size_t max_suspects = 512;
+  size_t max_leafs = 4096;
+  /// A request that lost runs at this many leafs and has not succeeded since is tried at one leaf
+  /// first.
+  size_t suspect_leaf_threshold = 3;
+  /// Whether a leaf's name identifies one incarnation, so that a leaf that answers again has not
+  /// crashed.
   bool names_are_lives = true;
 };
 
 /// One sub-request at a leaf.
 struct Run {
   RequestIdentity identity;
-  /// Tells the client's attempts at the same request apart.
+  /// Distinguishes the client's attempts at the same request.
   uint64_t attempt = 0;
   std::string leaf;
   std::string service;
   Timestamp sent{};
 };
 
-/// Lives on the event loop's thread.
+/// Used on the event loop's thread only.
 class RunWitness {
  public:
   explicit RunWitness(WitnessOptions options) : options_(options) {}
 
-  /// Runs of requests whose identity is not known are not watched.
+  /// Starts to track a run. Ignores runs of requests without a known identity.
   void OnSent(SubRequestId id, Run run);
-  /// What became of a run; also of one whose result was no longer wanted.
+  /// Records the outcome of a run, including one whose result is no longer needed.
   void OnEnded(Timestamp now, const query::LeafReply& reply);
-  /// Nothing will be heard of the run any more.
+  /// Stops tracking a run whose outcome will never be known.
   void OnDropped(SubRequestId id) { runs_.erase(id); }
-  /// The fleet stops these requests now. @post one that has succeeded here after it lost runs is
-  /// told of again.
+  /// Handles a new set of quarantined requests. Reports again those that have succeeded here after
+  /// they lost runs.
   void OnQuarantined(const std::set<RequestIdentity>& requests);
 
-  /// Control warns of these requests: others have seen them lose runs.
+  /// Handles a warning of the control machines: other processes have seen these requests lose runs.
   void OnWarned(Timestamp now, const std::vector<RequestIdentity>& requests);
 
   /// Whether the request should be tried at one leaf before it goes to many.
   bool IsSuspect(Timestamp now, const RequestIdentity& identity) const;
   /// Whether earlier attempts at the request lost runs and none has succeeded since.
   bool IsAccused(const RequestIdentity& identity) const;
-  /// @return what control has not been told yet, if anything.
+  /// Returns the observations that were not reported yet, if any.
   std::optional<wire::RunReport> TakeReport();
   bool has_report() const { return report_.has_value(); }
 
@@ -72,22 +74,22 @@
   struct Suspect {
     std::set<std::string> leafs;
     Timestamp last_lost{};
-    /// It has succeeded since.
-    bool harmless = false;
+    /// Whether the request has succeeded since its last lost run.
+    bool cleared = false;
   };
 
-  void NoteLost(Timestamp now, const Run& run);
-  void NoteAnswer(const Run& run, bool succeeded);
-  void NoteSuccess(const RequestIdentity& identity);
-  void Forget(Timestamp now);
+  void RecordLost(Timestamp now, const Run& run);
+  void RecordAnswer(const Run& run, bool succeeded);
+  void RecordSuccess(const RequestIdentity& identity);
+  void DiscardOld(Timestamp now);
   wire::RunReport& Report();
 
   WitnessOptions options_;
   std::unordered_map<SubRequestId, Run> runs_;
   std::map<RequestIdentity, Suspect> suspects_;
-  /// When control warned of each request last.
-  std::map<RequestIdentity, Timestamp> warned_of_;
-  /// When a run was lost last, by leaf.
+  /// Time of the last warning by request.
+  std::map<RequestIdentity, Timestamp> warnings_;
+  /// Time of the last lost run by leaf.
   std::map<std::string, Timestamp> lost_at_;
   std::optional<wire::RunReport> report_;
 };
--- a/test/quarantine/crash_evidence_test.cc
+++ b/test/quarantine/crash_evidence_test.cc
@@ -1,4 +1,5 @@
-// Who is found guilty of ending leafs, and above all who is not.
+// Tests which requests are confirmed as fatal, and that requests which only ran at the same time
+// are not.
 #include "quarantine/crash_evidence.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -10,22 +11,22 @@
 
 constexpr Timestamp kStart{Seconds(100)};
 const RequestIdentity kFatal = IdentityOf({"fatal"});
-const RequestIdentity kBystander = IdentityOf({"bystander"});
+const RequestIdentity kConcurrent = IdentityOf({"bystander"});
 
-/// Evidence to which the ends of leafs are added, one by one.
-struct Trial {
+/// Crash evidence with helpers that report one leaf crash at a time.
+struct EvidenceFixture {
   CrashEvidence evidence{EvidenceOptions{}};
   Timestamp now = kStart;
 
-  /// A leaf ended while it had these requests, in this attempt of theirs.
-  void End(const std::string& leaf, const std::vector<RequestIdentity>& requests, uint64_t attempt,
-           const std::string& service = "s") {
+  /// Reports that a leaf crashed while it ran this attempt of the requests.
+  void Crash(const std::string& leaf, const std::vector<RequestIdentity>& requests,
+             uint64_t attempt, const std::string& service = "s") {
     wire::RunReport report;
     for (const RequestIdentity& request : requests) {
       report.lost.push_back({request, attempt, leaf, service});
     }
     evidence.OnReport(now, report);
-    now += EvidenceOptions{}.moment_gap;
+    now += EvidenceOptions{}.time_point_gap;
   }
   void Succeeded(const RequestIdentity& request) {
     wire::RunReport report;
@@ -37,10 +38,10 @@
     report.answering = {leaf};
     evidence.OnReport(now, report);
   }
-  bool IsGuilty(const RequestIdentity& request,
-                const std::set<RequestIdentity>& offenders = {}) const {
-    const std::vector<Verdict> guilty = evidence.Guilty(offenders);
-    return std::any_of(guilty.begin(), guilty.end(),
+  bool IsConfirmed(const RequestIdentity& request,
+                   const std::set<RequestIdentity>& known_fatal = {}) const {
+    const std::vector<Verdict> confirmed = evidence.Guilty(known_fatal);
+    return std::any_of(confirmed.begin(), confirmed.end(),
                        [&](const Verdict& verdict) { return verdict.identity == request; });
   }
 };
@@ -51,203 +52,208 @@
   CPPUNIT_TEST_SUITE(CrashEvidenceTest);
   CPPUNIT_TEST(ThreeLeafsInThreeAttemptsAreEnough);
   CPPUNIT_TEST(OneAttemptAtManyLeafsIsNotEnough);
-  CPPUNIT_TEST(OneMomentIsNotEnoughHoweverManyAttempts);
-  CPPUNIT_TEST(BystandersAreNotBlamed);
-  CPPUNIT_TEST(BystanderOfEveryEndLosesToWhoeverWasThereMoreOften);
-  CPPUNIT_TEST(SuccessAcquitsAndLaterLossesCountAnew);
+  CPPUNIT_TEST(OnePointInTimeIsNotEnoughForManyAttempts);
+  CPPUNIT_TEST(ConcurrentRequestsAreNotConfirmed);
+  CPPUNIT_TEST(MoreFrequentRequestIsConfirmedInsteadOfConcurrentOne);
+  CPPUNIT_TEST(SuccessClearsAndLaterLossesCountAgain);
   CPPUNIT_TEST(LeafThatAnswersHasNotEnded);
-  CPPUNIT_TEST(LeafThatComesBackUnderItsNameEndsAgain);
-  CPPUNIT_TEST(CrashLoopWithoutCommonRequestBlamesNobody);
-  CPPUNIT_TEST(ReportThatComesAgainCountsOnce);
-  CPPUNIT_TEST(LateReportCountsForWhenItWasSeen);
+  CPPUNIT_TEST(LeafThatRestartsUnderItsNameCanCrashAgain);
+  CPPUNIT_TEST(CrashLoopWithoutCommonRequestConfirmsNone);
+  CPPUNIT_TEST(RepeatedNumberedReportCountsOnce);
+  CPPUNIT_TEST(LateReportCountsAtItsTimeOfObservation);
   CPPUNIT_TEST(TwoFatalRequestsAreBothFound);
   CPPUNIT_TEST(ManyFatalRequestsAreAllFound);
-  CPPUNIT_TEST(CrashLoopUnderManyWhoRepeatBlamesNobody);
-  CPPUNIT_TEST(OffenderIsStoppedAtTheNextLeaf);
-  CPPUNIT_TEST(ReportsThatComeTwiceCountOnce);
-  CPPUNIT_TEST(EvidenceIsForgotten);
+  CPPUNIT_TEST(CrashLoopUnderManyRetryingClientsConfirmsNone);
+  CPPUNIT_TEST(KnownFatalRequestIsConfirmedAtTheNextCrash);
+  CPPUNIT_TEST(RepeatedReportsCountOnce);
+  CPPUNIT_TEST(EvidenceExpires);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void ThreeLeafsInThreeAttemptsAreEnough() {
-    Trial trial;
-    trial.End("a", {kFatal}, 1);
-    trial.End("b", {kFatal}, 2);
-    CPPUNIT_ASSERT(!trial.IsGuilty(kFatal));
-    trial.End("c", {kFatal}, 3);
-    CPPUNIT_ASSERT(trial.IsGuilty(kFatal));
+    EvidenceFixture fixture;
+    fixture.Crash("a", {kFatal}, 1);
+    fixture.Crash("b", {kFatal}, 2);
+    CPPUNIT_ASSERT(!fixture.IsConfirmed(kFatal));
+    fixture.Crash("c", {kFatal}, 3);
+    CPPUNIT_ASSERT(fixture.IsConfirmed(kFatal));
   }
 
-  /// All leafs of a service crash at once: whoever was there lost a run at each.
+  /// When all leafs of a service crash at once, every request in flight loses a run at each of
+  /// them.
   void OneAttemptAtManyLeafsIsNotEnough() {
-    Trial trial;
+    EvidenceFixture fixture;
     for (int leaf = 0; leaf < 40; ++leaf) {
-      trial.End("leaf" + std::to_string(leaf), {kBystander}, 1 + leaf % 2);
+      fixture.Crash("leaf" + std::to_string(leaf), {kConcurrent}, 1 + leaf % 2);
     }
-    CPPUNIT_ASSERT(!trial.IsGuilty(kBystander));
+    CPPUNIT_ASSERT(!fixture.IsConfirmed(kConcurrent));
   }
 
-  /// The same, and a client that repeats at once had several attempts out.
-  void OneMomentIsNotEnoughHoweverManyAttempts() {
-    Trial trial;
+  /// The same, with a client that retries at once and thus has several attempts in flight.
+  void OnePointInTimeIsNotEnoughForManyAttempts() {
+    EvidenceFixture fixture;
     for (uint64_t leaf = 0; leaf < 40; ++leaf) {
-      trial.End("leaf" + std::to_string(leaf), {kBystander}, leaf % 5);
-      trial.now = kStart + Milliseconds(10) * static_cast<int64_t>(leaf);
+      fixture.Crash("leaf" + std::to_string(leaf), {kConcurrent}, leaf % 5);
+      fixture.now = kStart + Milliseconds(10) * static_cast<int64_t>(leaf);
     }
-    CPPUNIT_ASSERT(!trial.IsGuilty(kBystander));
+    CPPUNIT_ASSERT(!fixture.IsConfirmed(kConcurrent));
   }
 
-  void BystandersAreNotBlamed() {
-    Trial trial;
+  void ConcurrentRequestsAreNotConfirmed() {
+    EvidenceFixture fixture;
     for (uint64_t attempt = 1; attempt <= 6; ++attempt) {
-      const bool there = attempt % 2 == 0;
-      trial.End("leaf" + std::to_string(attempt),
-                there ? std::vector{kFatal, kBystander} : std::vector{kFatal}, attempt);
+      const bool concurrent_present = attempt % 2 == 0;
+      fixture.Crash("leaf" + std::to_string(attempt),
+                    concurrent_present ? std::vector{kFatal, kConcurrent} : std::vector{kFatal},
+                    attempt);
     }
-    CPPUNIT_ASSERT(trial.IsGuilty(kFatal));
-    CPPUNIT_ASSERT(!trial.IsGuilty(kBystander));
+    CPPUNIT_ASSERT(fixture.IsConfirmed(kFatal));
+    CPPUNIT_ASSERT(!fixture.IsConfirmed(kConcurrent));
   }
 
-  /// Somebody who sends fatal requests can't get the request of another one stopped with them.
-  void BystanderOfEveryEndLosesToWhoeverWasThereMoreOften() {
-    Trial trial;
+  /// A client that sends fatal requests cannot get another client's request quarantined with them.
+  void MoreFrequentRequestIsConfirmedInsteadOfConcurrentOne() {
+    EvidenceFixture fixture;
     for (uint64_t attempt = 1; attempt <= 5; ++attempt) {
-      trial.End("leaf" + std::to_string(attempt), {kFatal, kBystander}, attempt);
+      fixture.Crash("leaf" + std::to_string(attempt), {kFatal, kConcurrent}, attempt);
     }
-    trial.End("last", {kFatal}, 6);
-    CPPUNIT_ASSERT(trial.IsGuilty(kFatal));
-    CPPUNIT_ASSERT(!trial.IsGuilty(kBystander));
+    fixture.Crash("last", {kFatal}, 6);
+    CPPUNIT_ASSERT(fixture.IsConfirmed(kFatal));
+    CPPUNIT_ASSERT(!fixture.IsConfirmed(kConcurrent));
   }
 
-  void SuccessAcquitsAndLaterLossesCountAnew() {
-    Trial trial;
-    trial.End("a", {kBystander}, 1);
-    trial.End("b", {kBystander}, 2);
-    trial.Succeeded(kBystander);
-    CPPUNIT_ASSERT(trial.evidence.HasSucceeded(kBystander));
-    trial.End("c", {kBystander}, 3);
-    CPPUNIT_ASSERT(!trial.evidence.HasSucceeded(kBystander));
-    CPPUNIT_ASSERT(!trial.IsGuilty(kBystander));
-    trial.End("d", {kBystander}, 4);
-    trial.End("e", {kBystander}, 5);
-    CPPUNIT_ASSERT(trial.IsGuilty(kBystander));
-    trial.Succeeded(kBystander);
-    CPPUNIT_ASSERT(!trial.IsGuilty(kBystander));
+  void SuccessClearsAndLaterLossesCountAgain() {
+    EvidenceFixture fixture;
+    fixture.Crash("a", {kConcurrent}, 1);
+    fixture.Crash("b", {kConcurrent}, 2);
+    fixture.Succeeded(kConcurrent);
+    CPPUNIT_ASSERT(fixture.evidence.HasSucceeded(kConcurrent));
+    fixture.Crash("c", {kConcurrent}, 3);
+    CPPUNIT_ASSERT(!fixture.evidence.HasSucceeded(kConcurrent));
+    CPPUNIT_ASSERT(!fixture.IsConfirmed(kConcurrent));
+    fixture.Crash("d", {kConcurrent}, 4);
+    fixture.Crash("e", {kConcurrent}, 5);
+    CPPUNIT_ASSERT(fixture.IsConfirmed(kConcurrent));
+    fixture.Succeeded(kConcurrent);
+    CPPUNIT_ASSERT(!fixture.IsConfirmed(kConcurrent));
   }
 
-  /// Connections are reset by something between: the leaf lives.
+  /// Connections may be reset by the network while the leaf keeps running.
   void LeafThatAnswersHasNotEnded() {
-    Trial trial;
-    trial.End("a", {kBystander}, 1);
-    trial.End("b", {kBystander}, 2);
-    trial.End("c", {kBystander}, 3);
-    trial.Answers("b");
-    CPPUNIT_ASSERT(!trial.IsGuilty(kBystander));
+    EvidenceFixture fixture;
+    fixture.Crash("a", {kConcurrent}, 1);
+    fixture.Crash("b", {kConcurrent}, 2);
+    fixture.Crash("c", {kConcurrent}, 3);
+    fixture.Answers("b");
+    CPPUNIT_ASSERT(!fixture.IsConfirmed(kConcurrent));
   }
 
-  void LeafThatComesBackUnderItsNameEndsAgain() {
-    Trial trial;
+  void LeafThatRestartsUnderItsNameCanCrashAgain() {
+    EvidenceFixture fixture;
     for (uint64_t attempt = 1; attempt <= 3; ++attempt) {
-      trial.End("a", {kFatal}, attempt);
-      trial.now += EvidenceOptions{}.one_end;
+      fixture.Crash("a", {kFatal}, attempt);
+      fixture.now += EvidenceOptions{}.same_crash_window;
     }
-    CPPUNIT_ASSERT_EQUAL(size_t{3}, trial.evidence.leafs());
-    CPPUNIT_ASSERT(trial.IsGuilty(kFatal));
-    trial.Answers("a");
-    CPPUNIT_ASSERT_EQUAL(size_t{0}, trial.evidence.leafs());
+    CPPUNIT_ASSERT_EQUAL(size_t{3}, fixture.evidence.leafs());
+    CPPUNIT_ASSERT(fixture.IsConfirmed(kFatal));
+    fixture.Answers("a");
+    CPPUNIT_ASSERT_EQUAL(size_t{0}, fixture.evidence.leafs());
   }
 
-  /// Leafs end all the time, for a reason of their own, and somebody asks again and again.
-  void CrashLoopWithoutCommonRequestBlamesNobody() {
-    Trial trial;
+  /// Leafs crash continually for an unrelated reason while one client keeps retrying.
+  void CrashLoopWithoutCommonRequestConfirmsNone() {
+    EvidenceFixture fixture;
     for (uint64_t turn = 1; turn <= 30; ++turn) {
       const RequestIdentity other = IdentityOf({"other", std::to_string(turn)});
-      const bool there = turn % 3 == 0;
-      trial.End("leaf" + std::to_string(turn),
-                there ? std::vector{other, kBystander} : std::vector{other}, turn);
+      const bool concurrent_present = turn % 3 == 0;
+      fixture.Crash("leaf" + std::to_string(turn),
+                    concurrent_present ? std::vector{other, kConcurrent} : std::vector{other},
+                    turn);
     }
-    CPPUNIT_ASSERT(trial.evidence.Guilty({}).empty());
+    CPPUNIT_ASSERT(fixture.evidence.Guilty({}).empty());
   }
 
   void TwoFatalRequestsAreBothFound() {
-    Trial trial;
+    EvidenceFixture fixture;
     const RequestIdentity second = IdentityOf({"second"});
     for (uint64_t attempt = 1; attempt <= 8; ++attempt) {
-      trial.End("leaf" + std::to_string(attempt),
-                attempt % 4 == 0   ? std::vector{kFatal, second}
-                : attempt % 2 == 0 ? std::vector{second}
-                                   : std::vector{kFatal},
-                attempt);
+      fixture.Crash("leaf" + std::to_string(attempt),
+                    attempt % 4 == 0   ? std::vector{kFatal, second}
+                    : attempt % 2 == 0 ? std::vector{second}
+                                       : std::vector{kFatal},
+                    attempt);
     }
-    trial.End("more", {second}, 10);
-    CPPUNIT_ASSERT(trial.IsGuilty(kFatal));
-    CPPUNIT_ASSERT(trial.IsGuilty(second));
+    fixture.Crash("more", {second}, 10);
+    CPPUNIT_ASSERT(fixture.IsConfirmed(kFatal));
+    CPPUNIT_ASSERT(fixture.IsConfirmed(second));
   }
 
-  /// Each is there at a fifth of what ends.
+  /// Each request is present at only a fifth of the crashes.
   void ManyFatalRequestsAreAllFound() {
-    Trial trial;
+    EvidenceFixture fixture;
     constexpr uint64_t kRequests = 5;
     const auto nth = [](uint64_t i) { return IdentityOf({"fatal", std::to_string(i)}); };
     for (uint64_t turn = 0; turn < 4 * kRequests; ++turn) {
-      trial.End("leaf" + std::to_string(turn), {nth(turn % kRequests)}, turn);
+      fixture.Crash("leaf" + std::to_string(turn), {nth(turn % kRequests)}, turn);
     }
-    CPPUNIT_ASSERT_EQUAL(size_t{kRequests}, trial.evidence.Guilty({}).size());
+    CPPUNIT_ASSERT_EQUAL(size_t{kRequests}, fixture.evidence.Guilty({}).size());
   }
 
-  /// Several insist while leafs end for a reason of their own: at each end some of them are there.
-  void CrashLoopUnderManyWhoRepeatBlamesNobody() {
-    Trial trial;
+  /// Several clients keep retrying while leafs crash for an unrelated reason, so that each crash
+  /// has some of their requests in flight.
+  void CrashLoopUnderManyRetryingClientsConfirmsNone() {
+    EvidenceFixture fixture;
     constexpr uint64_t kCallers = 7;
     const auto nth = [](uint64_t i) {
       return IdentityOf({"caller", std::to_string(i % kCallers)});
     };
     for (uint64_t turn = 0; turn < 6 * kCallers; ++turn) {
-      trial.End("leaf" + std::to_string(turn), {nth(turn), nth(turn + 1), nth(turn + 3)}, turn);
+      fixture.Crash("leaf" + std::to_string(turn), {nth(turn), nth(turn + 1), nth(turn + 3)}, turn);
     }
-    CPPUNIT_ASSERT(trial.evidence.Guilty({}).empty());
+    CPPUNIT_ASSERT(fixture.evidence.Guilty({}).empty());
   }
 
-  void OffenderIsStoppedAtTheNextLeaf() {
-    Trial trial;
-    trial.End("a", {kFatal}, 1);
-    CPPUNIT_ASSERT(!trial.IsGuilty(kFatal));
-    CPPUNIT_ASSERT(trial.IsGuilty(kFatal, {kFatal}));
-    trial.evidence.Acquit(kFatal);
-    CPPUNIT_ASSERT(!trial.IsGuilty(kFatal, {kFatal}));
+  void KnownFatalRequestIsConfirmedAtTheNextCrash() {
+    EvidenceFixture fixture;
+    fixture.Crash("a", {kFatal}, 1);
+    CPPUNIT_ASSERT(!fixture.IsConfirmed(kFatal));
+    CPPUNIT_ASSERT(fixture.IsConfirmed(kFatal, {kFatal}));
+    fixture.evidence.Acquit(kFatal);
+    CPPUNIT_ASSERT(!fixture.IsConfirmed(kFatal, {kFatal}));
   }
 
-  void ReportsThatComeTwiceCountOnce() {
-    Trial trial;
+  void RepeatedReportsCountOnce() {
+    EvidenceFixture fixture;
     for (int i = 0; i < 3; ++i) {
-      trial.End("a", {kFatal}, 1);
-      trial.End("b", {kFatal}, 1);
-      trial.End("c", {kFatal}, 2);
-      trial.now = kStart;
+      fixture.Crash("a", {kFatal}, 1);
+      fixture.Crash("b", {kFatal}, 1);
+      fixture.Crash("c", {kFatal}, 2);
+      fixture.now = kStart;
     }
-    CPPUNIT_ASSERT(!trial.IsGuilty(kFatal));
-    CPPUNIT_ASSERT_EQUAL(size_t{3}, trial.evidence.leafs());
+    CPPUNIT_ASSERT(!fixture.IsConfirmed(kFatal));
+    CPPUNIT_ASSERT_EQUAL(size_t{3}, fixture.evidence.leafs());
   }
 
-  void EvidenceIsForgotten() {
-    Trial trial;
-    ThreeEnds(&trial);
-    trial.evidence.Tick(trial.now + EvidenceOptions{}.memory + Seconds(1));
-    CPPUNIT_ASSERT(!trial.IsGuilty(kFatal));
-    CPPUNIT_ASSERT_EQUAL(size_t{0}, trial.evidence.leafs());
+  void EvidenceExpires() {
+    EvidenceFixture fixture;
+    ThreeCrashes(&fixture);
+    fixture.evidence.Tick(fixture.now + EvidenceOptions{}.retention + Seconds(1));
+    CPPUNIT_ASSERT(!fixture.IsConfirmed(kFatal));
+    CPPUNIT_ASSERT_EQUAL(size_t{0}, fixture.evidence.leafs());
   }
 
  private:
-  static void ThreeEnds(Trial* trial) {
-    trial->End("a", {kFatal}, 1);
-    trial->End("b", {kFatal}, 2);
-    trial->End("c", {kFatal}, 3);
-    CPPUNIT_ASSERT(trial->IsGuilty(kFatal));
+  static void ThreeCrashes(EvidenceFixture* fixture) {
+    fixture->Crash("a", {kFatal}, 1);
+    fixture->Crash("b", {kFatal}, 2);
+    fixture->Crash("c", {kFatal}, 3);
+    CPPUNIT_ASSERT(fixture->IsConfirmed(kFatal));
   }
 
-  /// Told again since nobody had said that it was taken, or passed on by two control machines.
-  void ReportThatComesAgainCountsOnce() {
-    Trial fixture;
+  /// A report arrives repeatedly when its acknowledgement was lost or when two control machines
+  /// forward it.
+  void RepeatedNumberedReportCountsOnce() {
+    EvidenceFixture fixture;
     wire::RunReport report;
     report.reporter = 7;
     for (report.number = 1; report.number <= 2; ++report.number) {
@@ -258,25 +264,25 @@
       }
     }
     CPPUNIT_ASSERT_EQUAL(size_t{2}, fixture.evidence.leafs());
-    // Another process counts by itself.
+    // Reports of another process are counted separately.
     report.reporter = 8;
     report.number = 1;
     fixture.evidence.OnReport(fixture.now, report);
     CPPUNIT_ASSERT_EQUAL(size_t{3}, fixture.evidence.leafs());
   }
 
-  void LateReportCountsForWhenItWasSeen() {
-    Trial fixture;
+  void LateReportCountsAtItsTimeOfObservation() {
+    EvidenceFixture fixture;
     wire::RunReport report;
     report.reporter = 7;
-    // Three ends a second apart, all told when control is back.
+    // Three crashes one second apart, all reported once control is reachable again.
     for (report.number = 1; report.number <= 3; ++report.number) {
       report.age = Seconds(4) - Seconds(1) * static_cast<int64_t>(report.number);
       report.lost = {{kFatal, report.number, "leaf" + std::to_string(report.number), "s"}};
       fixture.evidence.OnReport(fixture.now, report);
     }
-    CPPUNIT_ASSERT(fixture.IsGuilty(kFatal));
-    // Nobody's clock is believed beyond what is remembered.
+    CPPUNIT_ASSERT(fixture.IsConfirmed(kFatal));
+    // Ages outside the retention period are clamped.
     report.number = 4;
     report.age = Duration::max();
     fixture.evidence.OnReport(fixture.now, report);
@@ -284,7 +290,7 @@
     report.age = Duration(-1);
     fixture.evidence.OnReport(fixture.now, report);
     fixture.evidence.Tick(fixture.now);
-    CPPUNIT_ASSERT(fixture.IsGuilty(kFatal));
+    CPPUNIT_ASSERT(fixture.IsConfirmed(kFatal));
   }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(CrashEvidenceTest);
--- a/test/quarantine/report_sender_test.cc
+++ b/test/quarantine/report_sender_test.cc
@@ -1,4 +1,4 @@
-// How a process tells control of lost runs until it has taken them.
+// Tests the repetition of reports until a control machine acknowledges them.
 #include "quarantine/report_sender.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -21,14 +21,14 @@
 
 class ReportSenderTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ReportSenderTest);
-  CPPUNIT_TEST(ReportIsToldUntilItIsTaken);
-  CPPUNIT_TEST(ReportsAreToldOneAfterTheOther);
+  CPPUNIT_TEST(ReportIsSentUntilAcknowledged);
+  CPPUNIT_TEST(ReportsAreSentInOrder);
   CPPUNIT_TEST(BrokenConnectionRepeatsAtOnce);
-  CPPUNIT_TEST(WaitingReportsAreBounded);
+  CPPUNIT_TEST(PendingReportsAreBounded);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void ReportIsToldUntilItIsTaken() {
+  void ReportIsSentUntilAcknowledged() {
     const ReportSenderOptions options;
     ReportSender sender(kReporter, options);
     CPPUNIT_ASSERT(!sender.next().has_value());
@@ -39,14 +39,14 @@
     CPPUNIT_ASSERT_EQUAL(uint64_t{1}, first->number);
     CPPUNIT_ASSERT(first->age == Duration(0));
     CPPUNIT_ASSERT(!sender.TakeDue(kStart).has_value());
-    CPPUNIT_ASSERT(sender.next() == kStart + options.first_repeat);
-    const auto again = sender.TakeDue(kStart + options.first_repeat);
+    CPPUNIT_ASSERT(sender.next() == kStart + options.initial_repeat);
+    const auto again = sender.TakeDue(kStart + options.initial_repeat);
     CPPUNIT_ASSERT_EQUAL(uint64_t{1}, again->number);
-    CPPUNIT_ASSERT(again->age == options.first_repeat);
-    // Each time it waits for longer, up to a bound.
+    CPPUNIT_ASSERT(again->age == options.initial_repeat);
+    // The delay grows with each repetition, up to a limit.
     Timestamp now = kStart;
     for (int i = 0; i < 20; ++i) {
-      CPPUNIT_ASSERT(*sender.next() - now <= options.longest_repeat);
+      CPPUNIT_ASSERT(*sender.next() - now <= options.max_repeat);
       now = *sender.next();
       CPPUNIT_ASSERT(sender.TakeDue(now).has_value());
     }
@@ -57,8 +57,8 @@
     CPPUNIT_ASSERT(!sender.TakeDue(now + Seconds(60)).has_value());
   }
 
-  /// A success that overtook the losses before it would be taken back by them.
-  void ReportsAreToldOneAfterTheOther() {
+  /// A reported success that overtook the losses before it would be revoked by them.
+  void ReportsAreSentInOrder() {
     ReportSender sender(kReporter);
     sender.Add(kStart, Lost("a"));
     sender.Add(kStart + Milliseconds(20), Lost("b"));
@@ -79,10 +79,10 @@
     CPPUNIT_ASSERT(!sender.TakeDue(kStart + Milliseconds(2)).has_value());
   }
 
-  void WaitingReportsAreBounded() {
+  void PendingReportsAreBounded() {
     const ReportSenderOptions options;
     ReportSender sender(kReporter, options);
-    for (size_t i = 0; i < options.most_waiting + 3; ++i) {
+    for (size_t i = 0; i < options.max_pending + 3; ++i) {
       sender.Add(kStart, Lost(std::to_string(i)));
     }
     CPPUNIT_ASSERT_EQUAL(uint64_t{3}, sender.dropped());
--- a/test/quarantine/run_witness_test.cc
+++ b/test/quarantine/run_witness_test.cc
@@ -1,4 +1,4 @@
-// What a gateway tells control of runs that were lost with their leaf.
+// Tests what a gateway reports to the control machines about runs lost in leaf crashes.
 #include "quarantine/run_witness.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -9,7 +9,7 @@
 constexpr Timestamp kStart{Seconds(100)};
 const RequestIdentity kRequest = IdentityOf({"request"});
 
-struct Watched {
+struct TrackedRuns {
   RunWitness witness{WitnessOptions{}};
   Timestamp now = kStart;
   uint64_t sent = 0;
@@ -39,97 +39,97 @@
 
 class RunWitnessTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RunWitnessTest);
-  CPPUNIT_TEST(LostRunsAreToldOnce);
+  CPPUNIT_TEST(LostRunsAreReportedOnce);
   CPPUNIT_TEST(RequestIsSuspectAtThreeLeafsUntilItSucceeds);
-  CPPUNIT_TEST(LeafThatAnswersLaterIsToldOf);
-  CPPUNIT_TEST(StoppedRequestThatSucceededHereIsToldOfAgain);
-  CPPUNIT_TEST(RunsOfUnknownRequestsAreNotWatched);
-  CPPUNIT_TEST(WarningCountsUntilTheRequestSucceedsOrForAWhile);
+  CPPUNIT_TEST(LeafThatAnswersLaterIsReported);
+  CPPUNIT_TEST(QuarantinedRequestThatSucceededIsReportedAgain);
+  CPPUNIT_TEST(RunsOfUnknownRequestsAreNotTracked);
+  CPPUNIT_TEST(WarningHoldsUntilSuccessOrExpiry);
   CPPUNIT_TEST(SuspectsAreBounded);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void LostRunsAreToldOnce() {
-    Watched watched;
-    watched.Lose(watched.Send("a"));
-    watched.Answer(watched.Send("b"), query::LeafStatus::kFailed);
-    watched.Answer(watched.Send("c"), query::LeafStatus::kNotSent);
-    const auto report = watched.witness.TakeReport();
+  void LostRunsAreReportedOnce() {
+    TrackedRuns tracked;
+    tracked.Lose(tracked.Send("a"));
+    tracked.Answer(tracked.Send("b"), query::LeafStatus::kFailed);
+    tracked.Answer(tracked.Send("c"), query::LeafStatus::kNotSent);
+    const auto report = tracked.witness.TakeReport();
     CPPUNIT_ASSERT(report.has_value());
     CPPUNIT_ASSERT_EQUAL(size_t{1}, report->lost.size());
     CPPUNIT_ASSERT_EQUAL(std::string("a"), report->lost.front().leaf);
     CPPUNIT_ASSERT_EQUAL(std::string("s"), report->lost.front().service);
     CPPUNIT_ASSERT_EQUAL(uint64_t{7}, report->lost.front().attempt);
     CPPUNIT_ASSERT(report->lost.front().identity == kRequest);
-    CPPUNIT_ASSERT(!watched.witness.TakeReport().has_value());
+    CPPUNIT_ASSERT(!tracked.witness.TakeReport().has_value());
   }
 
   void RequestIsSuspectAtThreeLeafsUntilItSucceeds() {
-    Watched watched;
+    TrackedRuns tracked;
     for (const char* leaf : {"a", "b", "b"}) {
-      watched.Lose(watched.Send(leaf));
+      tracked.Lose(tracked.Send(leaf));
     }
-    CPPUNIT_ASSERT(!watched.witness.IsSuspect(watched.now, kRequest));
-    watched.Lose(watched.Send("c"));
-    CPPUNIT_ASSERT(watched.witness.IsSuspect(watched.now, kRequest));
-    CPPUNIT_ASSERT(!watched.witness.IsSuspect(watched.now, IdentityOf({"another"})));
-    watched.Answer(watched.Send("d"), query::LeafStatus::kOk);
-    CPPUNIT_ASSERT(!watched.witness.IsSuspect(watched.now, kRequest));
-    CPPUNIT_ASSERT(watched.witness.TakeReport()->succeeded == std::vector{kRequest});
+    CPPUNIT_ASSERT(!tracked.witness.IsSuspect(tracked.now, kRequest));
+    tracked.Lose(tracked.Send("c"));
+    CPPUNIT_ASSERT(tracked.witness.IsSuspect(tracked.now, kRequest));
+    CPPUNIT_ASSERT(!tracked.witness.IsSuspect(tracked.now, IdentityOf({"another"})));
+    tracked.Answer(tracked.Send("d"), query::LeafStatus::kOk);
+    CPPUNIT_ASSERT(!tracked.witness.IsSuspect(tracked.now, kRequest));
+    CPPUNIT_ASSERT(tracked.witness.TakeReport()->succeeded == std::vector{kRequest});
   }
 
-  void LeafThatAnswersLaterIsToldOf() {
-    Watched watched;
-    const SubRequestId before = watched.Send("a");
-    watched.Lose(watched.Send("a"));
-    watched.witness.TakeReport();
-    // Sent before the loss: says nothing of the leaf after it.
-    watched.Answer(before, query::LeafStatus::kShed);
-    CPPUNIT_ASSERT(!watched.witness.TakeReport().has_value());
-    // Another leaf has the address.
-    watched.Answer(watched.Send("a"), query::LeafStatus::kDraining);
-    CPPUNIT_ASSERT(!watched.witness.TakeReport().has_value());
-    watched.Answer(watched.Send("a", IdentityOf({"another"})), query::LeafStatus::kShed);
-    CPPUNIT_ASSERT(watched.witness.TakeReport()->answering == std::vector<std::string>{"a"});
+  void LeafThatAnswersLaterIsReported() {
+    TrackedRuns tracked;
+    const SubRequestId before = tracked.Send("a");
+    tracked.Lose(tracked.Send("a"));
+    tracked.witness.TakeReport();
+    // Sent before the loss, so the answer does not show that the leaf survived it.
+    tracked.Answer(before, query::LeafStatus::kShed);
+    CPPUNIT_ASSERT(!tracked.witness.TakeReport().has_value());
+    // kDraining may come from another leaf that now has the address.
+    tracked.Answer(tracked.Send("a"), query::LeafStatus::kDraining);
+    CPPUNIT_ASSERT(!tracked.witness.TakeReport().has_value());
+    tracked.Answer(tracked.Send("a", IdentityOf({"another"})), query::LeafStatus::kShed);
+    CPPUNIT_ASSERT(tracked.witness.TakeReport()->answering == std::vector<std::string>{"a"});
   }
 
-  void StoppedRequestThatSucceededHereIsToldOfAgain() {
-    Watched watched;
-    watched.Lose(watched.Send("a"));
-    watched.Answer(watched.Send("b"), query::LeafStatus::kOk);
-    watched.witness.TakeReport();
-    watched.witness.OnQuarantined({IdentityOf({"another"})});
-    CPPUNIT_ASSERT(!watched.witness.TakeReport().has_value());
-    watched.witness.OnQuarantined({kRequest});
-    CPPUNIT_ASSERT(watched.witness.TakeReport()->succeeded == std::vector{kRequest});
+  void QuarantinedRequestThatSucceededIsReportedAgain() {
+    TrackedRuns tracked;
+    tracked.Lose(tracked.Send("a"));
+    tracked.Answer(tracked.Send("b"), query::LeafStatus::kOk);
+    tracked.witness.TakeReport();
+    tracked.witness.OnQuarantined({IdentityOf({"another"})});
+    CPPUNIT_ASSERT(!tracked.witness.TakeReport().has_value());
+    tracked.witness.OnQuarantined({kRequest});
+    CPPUNIT_ASSERT(tracked.witness.TakeReport()->succeeded == std::vector{kRequest});
   }
 
-  void RunsOfUnknownRequestsAreNotWatched() {
-    Watched watched;
-    watched.Lose(watched.Send("a", RequestIdentity{}));
-    CPPUNIT_ASSERT(!watched.witness.has_report());
+  void RunsOfUnknownRequestsAreNotTracked() {
+    TrackedRuns tracked;
+    tracked.Lose(tracked.Send("a", RequestIdentity{}));
+    CPPUNIT_ASSERT(!tracked.witness.has_report());
   }
 
-  /// What one gateway has seen the next one knows.
-  void WarningCountsUntilTheRequestSucceedsOrForAWhile() {
-    Watched watched;
-    watched.witness.OnWarned(watched.now, {kRequest});
-    CPPUNIT_ASSERT(watched.witness.IsSuspect(watched.now, kRequest));
-    CPPUNIT_ASSERT(!watched.witness.IsSuspect(watched.now + WitnessOptions{}.warning, kRequest));
-    watched.Answer(watched.Send("a"), query::LeafStatus::kOk);
-    CPPUNIT_ASSERT(!watched.witness.IsSuspect(watched.now, kRequest));
-    CPPUNIT_ASSERT(watched.witness.TakeReport()->succeeded == std::vector{kRequest});
+  /// A warning passes the observations of one gateway on to the others.
+  void WarningHoldsUntilSuccessOrExpiry() {
+    TrackedRuns tracked;
+    tracked.witness.OnWarned(tracked.now, {kRequest});
+    CPPUNIT_ASSERT(tracked.witness.IsSuspect(tracked.now, kRequest));
+    CPPUNIT_ASSERT(!tracked.witness.IsSuspect(tracked.now + WitnessOptions{}.warning, kRequest));
+    tracked.Answer(tracked.Send("a"), query::LeafStatus::kOk);
+    CPPUNIT_ASSERT(!tracked.witness.IsSuspect(tracked.now, kRequest));
+    CPPUNIT_ASSERT(tracked.witness.TakeReport()->succeeded == std::vector{kRequest});
   }
 
   void SuspectsAreBounded() {
-    Watched watched;
+    TrackedRuns tracked;
     for (const char* leaf : {"a", "b", "c"}) {
-      watched.Lose(watched.Send(leaf));
+      tracked.Lose(tracked.Send(leaf));
     }
-    for (size_t i = 0; i < WitnessOptions{}.most_suspects; ++i) {
-      watched.Lose(watched.Send("a", IdentityOf({"other", std::to_string(i)})));
+    for (size_t i = 0; i < WitnessOptions{}.max_suspects; ++i) {
+      tracked.Lose(tracked.Send("a", IdentityOf({"other", std::to_string(i)})));
     }
-    CPPUNIT_ASSERT(!watched.witness.IsSuspect(watched.now, kRequest));
+    CPPUNIT_ASSERT(!tracked.witness.IsSuspect(tracked.now, kRequest));
   }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(RunWitnessTest);
