--- a/src/directory/gateway_directory.cc
+++ b/src/directory/gateway_directory.cc
@@ -6,7 +6,7 @@
 namespace pumicedyke::directory {
 namespace {
 
-/// @return how other gateways know it; unset if they must not turn to it.
+/// Returns the record for other gateways; unset if they must not connect to this gateway.
 std::optional<wire::GatewayRecord> RecordOf(const wire::GatewayPresence& presence) {
   if (!presence.serving || presence.peer_address.empty()) {
     return std::nullopt;
@@ -23,11 +23,11 @@
   const std::optional<wire::GatewayRecord> before = RecordOf(entry.presence);
   const std::optional<wire::GatewayRecord> record = RecordOf(presence);
   entry.presence = presence;
-  entry.heard = now;
+  entry.last_heartbeat = now;
   if (record.has_value() && record != before) {
-    NoteChange(&entry);
+    RecordChange(&entry);
   } else if (before.has_value() && !record.has_value()) {
-    NoteRemoval(presence.node);
+    RecordRemoval(presence.node);
   }
   return changed;
 }
@@ -39,47 +39,47 @@
   }
   const bool was_serving = it->second.presence.serving;
   if (RecordOf(it->second.presence).has_value()) {
-    NoteRemoval(node);
+    RecordRemoval(node);
   }
-  Forget(it->second);
+  EraseChange(it->second);
   gateways_.erase(it);
   return was_serving;
 }
 
 void GatewayDirectory::DropSilent(Timestamp now) {
   std::erase_if(gateways_, [&](const auto& item) {
-    const bool silent = now - item.second.heard >= options_.silence_limit;
+    const bool silent = now - item.second.last_heartbeat >= options_.silence_limit;
     if (silent && RecordOf(item.second.presence).has_value()) {
-      NoteRemoval(item.first);
+      RecordRemoval(item.first);
     }
     if (silent) {
-      Forget(item.second);
+      EraseChange(item.second);
     }
     return silent;
   });
 }
 
-void GatewayDirectory::NoteChange(Entry* entry) {
+void GatewayDirectory::RecordChange(Entry* entry) {
   by_change_.erase(entry->changed);
   entry->changed = ++version_;
   by_change_[entry->changed] = entry->presence.node;
 }
 
-void GatewayDirectory::NoteRemoval(const std::string& node) {
+void GatewayDirectory::RecordRemoval(const std::string& node) {
   removals_.push_back({node, ++version_});
-  if (removals_.size() > options_.kept_removals) {
-    forgotten_ = removals_.front().version;
+  if (removals_.size() > options_.retained_removals) {
+    discarded_version_ = removals_.front().version;
     removals_.pop_front();
   }
 }
 
-bool GatewayDirectory::Serves(const std::string& node) const {
+bool GatewayDirectory::IsReachablePeer(const std::string& node) const {
   const auto it = gateways_.find(node);
   return it != gateways_.end() && RecordOf(it->second.presence).has_value();
 }
 
 wire::GatewayFeed GatewayDirectory::ChangesSince(uint64_t version) const {
-  const bool all = version == 0 || version < forgotten_ || version > version_;
+  const bool all = version == 0 || version < discarded_version_ || version > version_;
   wire::GatewayFeed feed;
   feed.from_version = all ? 0 : version;
   feed.version = version_;
@@ -91,7 +91,7 @@
   }
   for (auto it = removals_.rbegin(); !all && it != removals_.rend() && it->version > version;
        ++it) {
-    if (!Serves(it->node)) {
+    if (!IsReachablePeer(it->node)) {
       feed.gone.push_back(it->node);
     }
   }
@@ -102,7 +102,7 @@
                                                         const ClientPlace& client) const {
   std::vector<GatewayPlace> gateways;
   for (const auto& [node, entry] : gateways_) {
-    if (entry.presence.serving && now - entry.heard < options_.silence_limit) {
+    if (entry.presence.serving && now - entry.last_heartbeat < options_.silence_limit) {
       const std::string& zone = entry.presence.zone;
       gateways.push_back({entry.presence.address, zone, options_.regions.Of(zone)});
     }
--- a/src/directory/gateway_directory.h
+++ b/src/directory/gateway_directory.h
@@ -1,5 +1,5 @@
-// The gateways that clients may be sent to, as one control machine hears of them. Soft state fed by
-// the gateways' own heartbeats. No clock.
+// One control machine's view of the gateways that clients may use. This is soft state, built from
+// the gateways' heartbeats. Does not read a clock.
 #pragma once
 
 #include <cstdint>
@@ -16,42 +16,43 @@
 namespace pumicedyke::directory {
 
 struct DirectoryOptions {
-  /// A gateway that was not heard of for this long is no longer named.
+  /// A gateway without a heartbeat for this long is no longer listed.
   Duration silence_limit = Milliseconds(1800);
-  /// Addresses in one answer.
-  size_t max_addresses = kMostAddresses;
-  /// Where the gateways' zones lie.
+  /// Maximum number of addresses in one answer.
+  size_t max_addresses = kMaxAddresses;
+  /// Regions of the gateways' zones.
   RegionMap regions = {};
-  /// Removals remembered for gateways that are a little behind; others get everything.
-  size_t kept_removals = 1000;
+  /// Number of removals retained for incremental updates; gateways further behind get all records.
+  size_t retained_removals = 1000;
 };
 
 class GatewayDirectory {
  public:
   explicit GatewayDirectory(DirectoryOptions options) : options_(options) {}
 
-  /// @return whether the set of gateways that clients may use changed.
+  /// Handles a heartbeat. @return whether the set of gateways that clients may use changed.
   bool OnPresence(Timestamp now, const wire::GatewayPresence& presence);
-  /// The gateway's connection ended. A later life of it, heard meanwhile, stays.
+  /// Removes a gateway whose connection closed, unless a later incarnation has reported since.
   /// @return whether the set of gateways that clients may use changed.
   bool OnLost(const std::string& node, uint64_t incarnation);
 
-  /// Addresses for a client, best first (near_first.h).
+  /// Returns addresses for a client, the best first (near_first.h).
   std::vector<std::string> AddressesFor(Timestamp now, const ClientPlace& client) const;
-  /// Gateways that are there, serving or not.
+  /// Number of known gateways, serving or not.
   size_t size() const { return gateways_.size(); }
-  /// Drops gateways that have been silent for too long.
+  /// Drops gateways that have been silent for `silence_limit`.
   void DropSilent(Timestamp now);
 
-  /// Counts changes among the gateways that serve and that other gateways can reach.
+  /// Rises with each change of the gateways that serve and that other gateways can reach.
   uint64_t version() const { return version_; }
-  /// What changed among them since `version`; everything if that is zero or too long ago.
+  /// Returns the changes of these gateways since `version`, or all of them if that is zero or too
+  /// old.
   wire::GatewayFeed ChangesSince(uint64_t version) const;
 
  private:
   struct Entry {
     wire::GatewayPresence presence;
-    Timestamp heard{};
+    Timestamp last_heartbeat{};
     uint64_t changed = 0;
   };
   struct Removal {
@@ -59,21 +60,21 @@
     uint64_t version = 0;
   };
 
-  void NoteRemoval(const std::string& node);
-  /// Counts a change of a gateway that others may turn to.
-  void NoteChange(Entry* entry);
-  void Forget(const Entry& entry) { by_change_.erase(entry.changed); }
-  /// Whether other gateways may turn to it.
-  bool Serves(const std::string& node) const;
+  void RecordRemoval(const std::string& node);
+  /// Gives a gateway that others may connect to a new version.
+  void RecordChange(Entry* entry);
+  void EraseChange(const Entry& entry) { by_change_.erase(entry.changed); }
+  /// Whether other gateways may connect to it.
+  bool IsReachablePeer(const std::string& node) const;
 
   DirectoryOptions options_;
   std::map<std::string, Entry> gateways_;
-  /// The gateways that serve or did, by the version of their last change: while a fleet starts, all
-  /// of them ask ten times a second for the few that have come since.
+  /// The gateways that serve or served, by the version of their last change. While a fleet starts,
+  /// all gateways poll ten times a second for the few that were added since.
   std::map<uint64_t, std::string> by_change_;
   std::deque<Removal> removals_;
-  /// Version of the newest removal that was forgotten.
-  uint64_t forgotten_ = 0;
+  /// Version of the newest removal that is no longer retained.
+  uint64_t discarded_version_ = 0;
   uint64_t version_ = 1;
 };
 
--- a/src/directory/near_first.cc
+++ b/src/directory/near_first.cc
@@ -15,7 +15,7 @@
 }  // namespace
 
 std::vector<std::string> NearFirst(const std::vector<GatewayPlace>& gateways,
-                                   const ClientPlace& client, size_t most) {
+                                   const ClientPlace& client, size_t max_addresses) {
   std::vector<std::string> addresses;
   for (const Distance distance :
        {Distance::kSameZone, Distance::kSameRegion, Distance::kElsewhere}) {
@@ -23,7 +23,7 @@
       break;
     }
     for (const GatewayPlace& gateway : gateways) {
-      if (DistanceOf(gateway, client) == distance && addresses.size() < most) {
+      if (DistanceOf(gateway, client) == distance && addresses.size() < max_addresses) {
         addresses.push_back(gateway.address);
       }
     }
--- a/src/directory/near_first.h
+++ b/src/directory/near_first.h
@@ -1,4 +1,4 @@
-// In which order a client is told of gateways. Free function; no state, safe on any thread.
+// Orders gateways by their distance to a client. Free function without state; safe on any thread.
 #pragma once
 
 #include <cstddef>
@@ -7,25 +7,26 @@
 
 namespace pumicedyke::directory {
 
-/// A gateway that clients may be sent to.
+/// A gateway that clients may use.
 struct GatewayPlace {
   std::string address;
   std::string zone;
   std::string region;
 };
 
-/// Where a client is; empty: it did not say.
+/// The location of a client; empty if unknown.
 struct ClientPlace {
   std::string zone;
   std::string region;
 };
 
-/// Addresses in one answer: as many as clients read.
-inline constexpr size_t kMostAddresses = 64;
+/// Maximum number of addresses in one answer; clients read no more.
+inline constexpr size_t kMaxAddresses = 64;
 
-/// Up to `most` addresses for a client: gateways of its zone first, then those of its region.
-/// Others are named only if there are none of these: some requests must not leave their regions.
+/// Returns up to `max_addresses` addresses for a client: gateways of its zone first, then those of
+/// its region. Other gateways are listed only if there are none of these, because some requests
+/// must not leave their regions.
 std::vector<std::string> NearFirst(const std::vector<GatewayPlace>& gateways,
-                                   const ClientPlace& client, size_t most = kMostAddresses);
+                                   const ClientPlace& client, size_t max_addresses = kMaxAddresses);
 
 }  // namespace pumicedyke::directory
--- a/src/registry/leaf_registry.cc
+++ b/src/registry/leaf_registry.cc
@@ -5,11 +5,11 @@
 namespace pumicedyke::registry {
 
 bool LeafRegistry::IsStale(const LeafReport& report, const Entry& known) {
-  const bool former_life = report.record.born_ms < known.record.born_ms;
-  return former_life || report.sequence <= known.sequence;
+  const bool previous_incarnation = report.record.born_ms < known.record.born_ms;
+  return previous_incarnation || report.sequence <= known.sequence;
 }
 
-const LeafRegistry::Entry* LeafRegistry::HolderOf(const wire::LeafRecord& record) const {
+const LeafRegistry::Entry* LeafRegistry::OtherHolder(const wire::LeafRecord& record) const {
   const auto holder = holders_.find(record.address);
   if (holder == holders_.end() || holder->second == record.leaf) {
     return nullptr;
@@ -19,30 +19,30 @@
 }
 
 bool LeafRegistry::MayTakeAddress(Timestamp now, const LeafReport& report,
-                                  const std::string* elsewhere) {
-  const Entry* holder = HolderOf(report.record);
+                                  const std::string* other_holder) {
+  const Entry* holder = OtherHolder(report.record);
   const bool held_here = holder != nullptr && !holder->record.draining &&
-                         now - holder->heard < options_.holder_freshness;
-  const bool held_elsewhere = holder == nullptr && elsewhere != nullptr;
-  const bool starts = report.sequence <= options_.first_sequences;
-  if (starts || (!held_here && !held_elsewhere)) {
+                         now - holder->last_heartbeat < options_.holder_freshness;
+  const bool held_by_other_holder = holder == nullptr && other_holder != nullptr;
+  const bool starts = report.sequence <= options_.initial_sequences;
+  if (starts || (!held_here && !held_by_other_holder)) {
     return true;
   }
   Claim& claim = claims_[report.record.leaf];
-  if (claim.first_heard == Timestamp{}) {
+  if (claim.first_report == Timestamp{}) {
     claim = {now, report.sequence};
     return false;
   }
-  if (holder != nullptr && holder->heard > claim.first_heard) {
-    // The holder lives: this was a late word of a leaf that has ended.
-    claim.first_heard = now;
+  if (holder != nullptr && holder->last_heartbeat > claim.first_report) {
+    // The holder is still active, so the claim came from a late heartbeat of a stopped leaf.
+    claim.first_report = now;
     return false;
   }
-  return report.sequence > claim.sequence && now - claim.first_heard >= options_.confirmation;
+  return report.sequence > claim.sequence && now - claim.first_report >= options_.confirmation_time;
 }
 
 void LeafRegistry::ReplaceHolder(const LeafReport& report) {
-  const Entry* holder = HolderOf(report.record);
+  const Entry* holder = OtherHolder(report.record);
   if (holder != nullptr) {
     Remove(std::string(holder->record.leaf));
   }
@@ -50,38 +50,38 @@
   claims_.erase(report.record.leaf);
 }
 
-void LeafRegistry::ForgetClaims(Timestamp now) {
+void LeafRegistry::DiscardOldClaims(Timestamp now) {
   std::erase_if(claims_, [&](const auto& item) {
-    return now - item.second.first_heard >= options_.silence_limit;
+    return now - item.second.first_report >= options_.silence_limit;
   });
 }
 
 ReportVerdict LeafRegistry::OnReport(Timestamp now, const LeafReport& report,
-                                     const std::string* elsewhere) {
+                                     const std::string* other_holder) {
   const auto known = leafs_.find(report.record.leaf);
   const bool inserted = known == leafs_.end();
-  const bool reborn = !inserted && report.record.born_ms > known->second.record.born_ms;
-  if ((inserted || reborn) && !MayTakeAddress(now, report, elsewhere)) {
+  const bool restarted = !inserted && report.record.born_ms > known->second.record.born_ms;
+  if ((inserted || restarted) && !MayTakeAddress(now, report, other_holder)) {
     return ReportVerdict::kUnconfirmed;
   }
   Entry& entry = leafs_[report.record.leaf];
-  if (!inserted && !reborn && IsStale(report, entry)) {
+  if (!inserted && !restarted && IsStale(report, entry)) {
     return ReportVerdict::kStale;
   }
-  if (reborn) {
-    EndLife(&entry);
+  if (restarted) {
+    DropPreviousIncarnation(&entry);
   }
-  if (inserted || reborn) {
+  if (inserted || restarted) {
     ReplaceHolder(report);
   }
   wire::LeafRecord record = report.record;
   const Timestamp cold_until = now + Milliseconds(static_cast<int64_t>(record.cold_milliseconds));
   record.cold_milliseconds = 0;
-  // Draining is never taken back in one life.
+  // Draining is never revoked within one incarnation.
   record.draining |= entry.record.draining;
   entry.sequence = report.sequence;
-  entry.heard = now;
-  heard_.insert(report.record.leaf);
+  entry.last_heartbeat = now;
+  reported_.insert(report.record.leaf);
   const Duration cold_change =
       std::chrono::abs(std::max(cold_until, now) - std::max(entry.cold_until, now));
   const bool cold_changed = cold_change >= options_.cold_tolerance;
@@ -89,11 +89,11 @@
     entry.cold_until = cold_until;
   }
   if (!inserted && record == entry.record && !cold_changed) {
-    return ReportVerdict::kKnown;
+    return ReportVerdict::kUnchanged;
   }
   entry.record = std::move(record);
-  NoteChange(&entry);
-  if (reborn) {
+  RecordChange(&entry);
+  if (restarted) {
     return ReportVerdict::kReborn;
   }
   return inserted ? ReportVerdict::kNew : ReportVerdict::kChanged;
@@ -104,24 +104,24 @@
   if (it == leafs_.end()) {
     return false;
   }
-  const bool former = born_ms != 0 && born_ms < it->second.record.born_ms;
-  if (former) {
+  const bool previous_incarnation = born_ms != 0 && born_ms < it->second.record.born_ms;
+  if (previous_incarnation) {
     return false;
   }
   if (born_ms > it->second.record.born_ms) {
-    EndLife(&it->second);
+    DropPreviousIncarnation(&it->second);
     it->second.record.born_ms = born_ms;
   }
-  it->second.heard = now;
-  heard_.insert(leaf);
+  it->second.last_heartbeat = now;
+  reported_.insert(leaf);
   if (!it->second.record.draining) {
     it->second.record.draining = true;
-    NoteChange(&it->second);
+    RecordChange(&it->second);
   }
   return true;
 }
 
-void LeafRegistry::EndLife(Entry* entry) {
+void LeafRegistry::DropPreviousIncarnation(Entry* entry) {
   const auto holder = holders_.find(entry->record.address);
   if (holder != holders_.end() && holder->second == entry->record.leaf) {
     holders_.erase(holder);
@@ -131,7 +131,7 @@
   entry->cold_until = Timestamp{};
 }
 
-void LeafRegistry::NoteChange(Entry* entry) {
+void LeafRegistry::RecordChange(Entry* entry) {
   by_change_.erase(entry->changed);
   entry->changed = ++version_;
   by_change_[entry->changed] = entry->record.leaf;
@@ -139,9 +139,9 @@
 
 std::vector<std::string> LeafRegistry::DropSilent(Timestamp now) {
   std::vector<std::string> silent;
-  ForgetClaims(now);
+  DiscardOldClaims(now);
   for (const auto& [leaf, entry] : leafs_) {
-    if (now - entry.heard >= options_.silence_limit) {
+    if (now - entry.last_heartbeat >= options_.silence_limit) {
       silent.push_back(leaf);
     }
   }
@@ -153,8 +153,8 @@
 
 void LeafRegistry::ForgiveSilence(Timestamp now) {
   for (auto& [leaf, entry] : leafs_) {
-    entry.heard = now;
-    heard_.insert(leaf);
+    entry.last_heartbeat = now;
+    reported_.insert(leaf);
   }
 }
 
@@ -166,19 +166,19 @@
   }
   by_change_.erase(it->second.changed);
   leafs_.erase(it);
-  heard_.erase(leaf);
+  reported_.erase(leaf);
   removed_.insert(leaf);
   removals_.push_back({leaf, ++version_});
-  if (removals_.size() > options_.kept_removals) {
-    forgotten_ = removals_.front().version;
+  if (removals_.size() > options_.retained_removals) {
+    discarded_version_ = removals_.front().version;
     removals_.pop_front();
   }
 }
 
 void LeafRegistry::ForEach(
-    const std::function<void(const wire::LeafRecord&, Timestamp heard)>& visit) const {
+    const std::function<void(const wire::LeafRecord&, Timestamp last_heartbeat)>& visit) const {
   for (const auto& [leaf, entry] : leafs_) {
-    visit(entry.record, entry.heard);
+    visit(entry.record, entry.last_heartbeat);
   }
 }
 
@@ -195,7 +195,7 @@
 }
 
 wire::LeafFeed LeafRegistry::ChangesSince(Timestamp now, uint64_t version) const {
-  const bool all = version == 0 || version < forgotten_ || version > version_;
+  const bool all = version == 0 || version < discarded_version_ || version > version_;
   wire::LeafFeed feed;
   feed.from_version = all ? 0 : version;
   feed.version = version_;
--- a/src/registry/leaf_registry.h
+++ b/src/registry/leaf_registry.h
@@ -1,5 +1,5 @@
-// What one control machine knows of the leafs that report to it by heartbeats: who is there, who is
-// leaving, who has fallen silent. Soft state: after a restart the leafs report again. No clock.
+// One control machine's view of the leafs that send heartbeats to it: which are present, draining
+// or silent. This is soft state: after a restart the leafs report again. Does not read a clock.
 #pragma once
 
 #include <cstdint>
@@ -19,38 +19,39 @@
 /// One heartbeat of a leaf.
 struct LeafReport {
   wire::LeafRecord record;
-  /// Rises with each heartbeat of one life (wire::LeafRecord::born_ms), so that a late one can be
-  /// known.
+  /// Rises with each heartbeat of one incarnation (wire::LeafRecord::born_ms), so that late
+  /// heartbeats are recognized.
   uint64_t sequence = 0;
 };
 
 struct RegistryOptions {
-  /// A leaf that was not heard of for this long counts as gone.
+  /// A leaf without a heartbeat for this long is removed.
   Duration silence_limit = Seconds(6);
-  /// A leaf that says so much else of how long it is cold than before has become cold again.
+  /// Minimum change of a leaf's reported cold time that counts as a change of the leaf.
   Duration cold_tolerance = Milliseconds(200);
-  /// A leaf that is new here, at an address where another one was heard of so lately, is believed
-  /// only once it has been heard of for `confirmation` without a word from the other: heartbeats of
-  /// a leaf that has ended may come late, but then all at once. Two heartbeats are 1.2 s apart.
+  /// If a new leaf reports an address whose current holder sent a heartbeat within
+  /// `holder_freshness`, the new leaf is accepted only after it has reported for
+  /// `confirmation_time` without a heartbeat of the holder. Heartbeats of a stopped leaf may arrive
+  /// late, but then all at once. Heartbeats are sent 1.2 s apart.
   Duration holder_freshness = Milliseconds(2500);
-  Duration confirmation = Milliseconds(700);
-  /// Heartbeats up to this one are the first of a leaf's life: it has just started, and whatever
-  /// was at its address has ended.
-  uint64_t first_sequences = 2;
-  /// Removals remembered for receivers that are a little behind; others get everything.
-  size_t kept_removals = 1000;
+  Duration confirmation_time = Milliseconds(700);
+  /// Up to this sequence number a leaf has just started, so the previous holder of its address has
+  /// stopped.
+  uint64_t initial_sequences = 2;
+  /// Number of removals retained for incremental updates; receivers further behind get all records.
+  size_t retained_removals = 1000;
 };
 
 enum class ReportVerdict {
-  /// Nothing new.
-  kKnown,
+  /// The heartbeat changed nothing.
+  kUnchanged,
   kNew,
   kChanged,
-  /// A later heartbeat came before this one, or one of a later life.
+  /// A later heartbeat, or one of a later incarnation, has already arrived.
   kStale,
-  /// A known leaf has started again under its id: nothing of its former life holds.
+  /// A known leaf has restarted under its id; the state of the previous incarnation is dropped.
   kReborn,
-  /// Another leaf is at the address; whether it has ended shows later. Not told to anybody yet.
+  /// Another leaf holds the address and may still be alive. The report is not published yet.
   kUnconfirmed,
 };
 
@@ -58,48 +59,49 @@
  public:
   explicit LeafRegistry(RegistryOptions options) : options_(options) {}
 
-  /// @param elsewhere another leaf that the configuration knows at the same address and that
-  /// reports to another control machine; null: there is none.
+  /// Handles a heartbeat.
+  /// @param other_holder another leaf that the configuration has at the same address and that
+  /// reports to another control machine; null if there is none.
   ReportVerdict OnReport(Timestamp now, const LeafReport& report,
-                         const std::string* elsewhere = nullptr);
-  /// This life of the leaf is leaving for good: it is draining from now on, whatever late
-  /// heartbeats say.
-  /// @param born_ms zero: the life that is known.
-  /// @return false if it is not known here, or has been followed by another one.
+                         const std::string* other_holder = nullptr);
+  /// Marks this incarnation of the leaf as draining for good; late heartbeats do not revoke it.
+  /// @param born_ms zero for the current incarnation.
+  /// @return false if the leaf is unknown here or a later incarnation has replaced this one.
   bool OnDeparture(Timestamp now, const std::string& leaf, uint64_t born_ms = 0);
-  /// Drops leafs that have been silent for too long. @return their ids.
+  /// Drops leafs that have been silent for `silence_limit` and returns their ids.
   std::vector<std::string> DropSilent(Timestamp now);
 
-  /// Leafs could not report: their time of silence starts anew.
+  /// Restarts the silence of all leafs, for example after a time in which they could not report.
   void ForgiveSilence(Timestamp now);
 
-  /// Leafs that were heard of since the last call.
-  std::set<std::string> TakeHeard() { return std::exchange(heard_, {}); }
-  /// Leafs that were dropped or replaced since the last call.
+  /// Returns the leafs that have reported since the last call.
+  std::set<std::string> TakeHeard() { return std::exchange(reported_, {}); }
+  /// Returns the leafs that were dropped or replaced since the last call.
   std::set<std::string> TakeRemoved() { return std::exchange(removed_, {}); }
 
-  /// Counts changes.
+  /// Rises with each change.
   uint64_t version() const { return version_; }
   size_t size() const { return leafs_.size(); }
-  /// @param visit also gets when the leaf was heard of last.
-  void ForEach(const std::function<void(const wire::LeafRecord&, Timestamp heard)>& visit) const;
+  /// Visits all leafs. @param visit also receives the time of the leaf's last heartbeat.
+  void ForEach(
+      const std::function<void(const wire::LeafRecord&, Timestamp last_heartbeat)>& visit) const;
   const wire::LeafRecord* Find(const std::string& leaf) const;
-  /// What changed since `version`; everything if that is zero or too long ago. Fields `control` and
-  /// `gateways` are left empty.
+  /// Returns the changes since `version`, or all records if that is zero or too old. The fields
+  /// `control` and `gateways` are left empty.
   wire::LeafFeed ChangesSince(Timestamp now, uint64_t version) const;
 
  private:
   struct Entry {
-    /// `cold_milliseconds` is unused: `cold_until` tells it.
+    /// `cold_milliseconds` is unused here; see `cold_until`.
     wire::LeafRecord record;
     uint64_t sequence = 0;
     uint64_t changed = 0;
-    Timestamp heard{};
+    Timestamp last_heartbeat{};
     Timestamp cold_until{};
   };
-  /// A leaf that is not believed yet.
+  /// A claim of an address by a leaf that is not confirmed yet.
   struct Claim {
-    Timestamp first_heard{};
+    Timestamp first_report{};
     uint64_t sequence = 0;
   };
   struct Removal {
@@ -109,32 +111,31 @@
 
   static bool IsStale(const LeafReport& report, const Entry& known);
   void Remove(const std::string& leaf);
-  /// Counts a change of this leaf.
-  void NoteChange(Entry* entry);
+  /// Gives the leaf a new version.
+  void RecordChange(Entry* entry);
   wire::LeafRecord RecordOf(const Entry& entry, Timestamp now) const;
-  /// Whether a leaf that is new here may take its address. What the configuration says of a leaf
-  /// that reports elsewhere is passed as `elsewhere`; null: it knows none at the address.
-  bool MayTakeAddress(Timestamp now, const LeafReport& report, const std::string* elsewhere);
+  /// Whether a leaf that is new here may take its address. For `other_holder` see OnReport().
+  bool MayTakeAddress(Timestamp now, const LeafReport& report, const std::string* other_holder);
   void ReplaceHolder(const LeafReport& report);
-  /// Forgets what was known of the leaf's former life.
-  void EndLife(Entry* entry);
-  /// The other leaf at this address that was heard of last, if any.
-  const Entry* HolderOf(const wire::LeafRecord& record) const;
-  void ForgetClaims(Timestamp now);
+  /// Drops the state of the leaf's previous incarnation.
+  void DropPreviousIncarnation(Entry* entry);
+  /// Returns the other leaf that holds the record's address, if any.
+  const Entry* OtherHolder(const wire::LeafRecord& record) const;
+  void DiscardOldClaims(Timestamp now);
 
   RegistryOptions options_;
   std::map<std::string, Entry> leafs_;
-  /// The leafs by the version of their last change: with hundreds of gateways that ask several
-  /// times a second, only what has changed may be looked at.
+  /// Leafs by the version of their last change. Hundreds of gateways poll several times a second,
+  /// so that only the changed leafs may be visited.
   std::map<uint64_t, std::string> by_change_;
-  /// The leaf of `leafs_` that was believed last at each address.
+  /// The accepted leaf of `leafs_` at each address.
   std::map<std::string, std::string> holders_;
   std::map<std::string, Claim> claims_;
-  std::set<std::string> heard_;
+  std::set<std::string> reported_;
   std::set<std::string> removed_;
   std::deque<Removal> removals_;
-  /// Version of the oldest removal that was forgotten.
-  uint64_t forgotten_ = 0;
+  /// Version of the newest removal that is no longer retained.
+  uint64_t discarded_version_ = 0;
   uint64_t version_ = 1;
 };
 
--- a/test/directory/gateway_directory_test.cc
+++ b/test/directory/gateway_directory_test.cc
@@ -1,4 +1,4 @@
-// Which gateways clients are told of.
+// Tests which gateways are listed for clients and for other gateways.
 #include "directory/gateway_directory.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -25,12 +25,12 @@
 class GatewayDirectoryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GatewayDirectoryTest);
   CPPUNIT_TEST(OwnZoneComesFirst);
-  CPPUNIT_TEST(OneThatStopsServingIsNotNamed);
-  CPPUNIT_TEST(SilentOneIsNotNamed);
-  CPPUNIT_TEST(LossOfAnEarlierLifeLeavesTheLaterOne);
+  CPPUNIT_TEST(GatewayThatStopsServingIsNotListed);
+  CPPUNIT_TEST(SilentGatewayIsNotListed);
+  CPPUNIT_TEST(LossOfAnEarlierIncarnationKeepsTheLaterOne);
   CPPUNIT_TEST(AnswerIsBounded);
-  CPPUNIT_TEST(PeersHearWhatChanged);
-  CPPUNIT_TEST(PeersFarBehindHearEverything);
+  CPPUNIT_TEST(PeersReceiveChanges);
+  CPPUNIT_TEST(PeersFarBehindReceiveAllRecords);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -42,51 +42,51 @@
     CPPUNIT_ASSERT(expected == directory.AddressesFor(kStart, {"south", ""}));
   }
 
-  /// Whatever happens, a list kept by changes equals the full one.
-  void PeersHearWhatChanged() {
+  /// A list maintained by incremental changes always equals the full one.
+  void PeersReceiveChanges() {
     GatewayDirectory directory({.silence_limit = Seconds(1)});
-    std::map<std::string, wire::GatewayRecord> kept;
+    std::map<std::string, wire::GatewayRecord> view;
     uint64_t version = 0;
     const auto follow = [&] {
       const wire::GatewayFeed feed = directory.ChangesSince(version);
       if (feed.from_version == 0) {
-        kept.clear();
+        view.clear();
       }
       for (const wire::GatewayRecord& record : feed.peers) {
-        kept[record.node] = record;
+        view[record.node] = record;
       }
       for (const std::string& node : feed.gone) {
-        kept.erase(node);
+        view.erase(node);
       }
       version = feed.version;
       const wire::GatewayFeed all = directory.ChangesSince(0);
-      CPPUNIT_ASSERT_EQUAL(all.peers.size(), kept.size());
+      CPPUNIT_ASSERT_EQUAL(all.peers.size(), view.size());
       for (const wire::GatewayRecord& record : all.peers) {
-        CPPUNIT_ASSERT(kept.contains(record.node));
+        CPPUNIT_ASSERT(view.contains(record.node));
       }
     };
     directory.OnPresence(kStart, Reachable("a", true));
     directory.OnPresence(kStart, Reachable("b", true));
     directory.OnPresence(kStart, Presence("unreachable", "north", true));
     follow();
-    CPPUNIT_ASSERT_EQUAL(size_t{2}, kept.size());
+    CPPUNIT_ASSERT_EQUAL(size_t{2}, view.size());
     const uint64_t before = directory.version();
     directory.OnPresence(kStart, Reachable("a", true));
     CPPUNIT_ASSERT_EQUAL(before, directory.version());
     directory.OnPresence(kStart, Reachable("a", false));
     follow();
-    CPPUNIT_ASSERT(!kept.contains("a"));
+    CPPUNIT_ASSERT(!view.contains("a"));
     directory.OnPresence(kStart, Reachable("a", true));
     directory.OnLost("b", 7);
     follow();
-    CPPUNIT_ASSERT(kept.contains("a") && !kept.contains("b"));
+    CPPUNIT_ASSERT(view.contains("a") && !view.contains("b"));
     directory.DropSilent(kStart + Seconds(2));
     follow();
-    CPPUNIT_ASSERT(kept.empty());
+    CPPUNIT_ASSERT(view.empty());
   }
 
-  void PeersFarBehindHearEverything() {
-    GatewayDirectory directory({.kept_removals = 1});
+  void PeersFarBehindReceiveAllRecords() {
+    GatewayDirectory directory({.retained_removals = 1});
     directory.OnPresence(kStart, Reachable("a", true));
     const uint64_t version = directory.version();
     for (const char* node : {"b", "c"}) {
@@ -94,11 +94,11 @@
       directory.OnLost(node, 7);
     }
     CPPUNIT_ASSERT_EQUAL(uint64_t{0}, directory.ChangesSince(version).from_version);
-    // A version of another life of this machine.
+    // A version of another incarnation of the control machine.
     CPPUNIT_ASSERT_EQUAL(uint64_t{0}, directory.ChangesSince(version + 100).from_version);
   }
 
-  void OneThatStopsServingIsNotNamed() {
+  void GatewayThatStopsServingIsNotListed() {
     GatewayDirectory directory({});
     directory.OnPresence(kStart, Presence("a", "north", true));
     directory.OnPresence(kStart, Presence("a", "north", false));
@@ -106,7 +106,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, directory.size());
   }
 
-  void SilentOneIsNotNamed() {
+  void SilentGatewayIsNotListed() {
     GatewayDirectory directory({.silence_limit = Seconds(1)});
     directory.OnPresence(kStart, Presence("a", "north", true));
     CPPUNIT_ASSERT_EQUAL(size_t{1},
@@ -116,7 +116,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{0}, directory.size());
   }
 
-  void LossOfAnEarlierLifeLeavesTheLaterOne() {
+  void LossOfAnEarlierIncarnationKeepsTheLaterOne() {
     GatewayDirectory directory({});
     wire::GatewayPresence later = Presence("a", "north", true);
     later.incarnation = 8;
--- a/test/directory/near_first_test.cc
+++ b/test/directory/near_first_test.cc
@@ -1,4 +1,4 @@
-// In which order clients are told of gateways.
+// Tests the order of gateways for clients.
 #include "directory/near_first.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -7,17 +7,17 @@
 
 class NearFirstTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(NearFirstTest);
-  CPPUNIT_TEST(ClientsStayNear);
+  CPPUNIT_TEST(NearGatewaysComeFirst);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void ClientsStayNear() {
+  void NearGatewaysComeFirst() {
     const std::vector<GatewayPlace> gateways = {
         {"far", "z3", "east"}, {"other-zone", "z2", "west"}, {"own-zone", "z1", "west"}};
     struct Case {
       const char* what;
       ClientPlace client;
-      size_t most;
+      size_t max_addresses;
       std::vector<std::string> expected;
     };
     const Case cases[] = {
@@ -29,7 +29,7 @@
     };
     for (const Case& item : cases) {
       CPPUNIT_ASSERT_MESSAGE(item.what,
-                             NearFirst(gateways, item.client, item.most) == item.expected);
+                             NearFirst(gateways, item.client, item.max_addresses) == item.expected);
     }
   }
 };
--- a/test/registry/leaf_lives_test.cc
+++ b/test/registry/leaf_incarnations_test.cc
@@ -1,4 +1,4 @@
-// A leaf that starts again under its id: nothing of its former life holds.
+// Tests a leaf that restarts under its id: the state of its previous incarnation must not be kept.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "registry/leaf_registry.h"
@@ -17,64 +17,64 @@
 
 }  // namespace
 
-class LeafLivesTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(LeafLivesTest);
-  CPPUNIT_TEST(SequenceBeginsAnew);
-  CPPUNIT_TEST(OldWordsAreStale);
-  CPPUNIT_TEST(DrainingOfTheFormerLifeIsForgotten);
-  CPPUNIT_TEST(DepartureIsOfOneLife);
-  CPPUNIT_TEST(DepartureThatNamesNoLifeIsOfTheKnownOne);
-  CPPUNIT_TEST(NewLifeIsAsColdAsItSays);
-  CPPUNIT_TEST(NewLifeMayHaveAnotherAddress);
-  CPPUNIT_TEST(LifeThatSaysNothingIsJudgedByItsSequence);
-  CPPUNIT_TEST(ReceiversHearOfTheNewLife);
+class LeafIncarnationsTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(LeafIncarnationsTest);
+  CPPUNIT_TEST(SequenceRestarts);
+  CPPUNIT_TEST(HeartbeatsOfThePreviousIncarnationAreStale);
+  CPPUNIT_TEST(DrainingOfThePreviousIncarnationIsReset);
+  CPPUNIT_TEST(DepartureAppliesToOneIncarnation);
+  CPPUNIT_TEST(DepartureWithoutIncarnationAppliesToTheCurrentOne);
+  CPPUNIT_TEST(NewIncarnationReportsItsOwnColdTime);
+  CPPUNIT_TEST(NewIncarnationMayHaveAnotherAddress);
+  CPPUNIT_TEST(UnknownIncarnationIsOrderedBySequence);
+  CPPUNIT_TEST(ReceiversGetTheNewIncarnation);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void SequenceBeginsAnew() {
+  void SequenceRestarts() {
     LeafRegistry registry({});
     registry.OnReport(kStart, Report(1000, 50));
     CPPUNIT_ASSERT(registry.OnReport(kStart, Report(2000, 1)) == ReportVerdict::kReborn);
-    CPPUNIT_ASSERT(registry.OnReport(kStart, Report(2000, 2)) == ReportVerdict::kKnown);
+    CPPUNIT_ASSERT(registry.OnReport(kStart, Report(2000, 2)) == ReportVerdict::kUnchanged);
     CPPUNIT_ASSERT(registry.OnReport(kStart, Report(2000, 2)) == ReportVerdict::kStale);
   }
 
-  void OldWordsAreStale() {
+  void HeartbeatsOfThePreviousIncarnationAreStale() {
     LeafRegistry registry({});
     registry.OnReport(kStart, Report(2000, 1));
     CPPUNIT_ASSERT(registry.OnReport(kStart, Report(1000, 51, true)) == ReportVerdict::kStale);
-    // One that does not say when it was born is by somebody else.
+    // A heartbeat without an incarnation comes from another process.
     CPPUNIT_ASSERT(registry.OnReport(kStart, Report(0, 52, true)) == ReportVerdict::kStale);
     CPPUNIT_ASSERT(!registry.Find("a")->draining);
-    // Nor do old words keep a leaf from falling silent.
+    // Heartbeats of the previous incarnation do not keep the leaf from being dropped either.
     for (uint64_t i = 1; i <= 6; ++i) {
       registry.OnReport(kStart + i * Seconds(1), Report(1000, 60 + i));
     }
     CPPUNIT_ASSERT_EQUAL(size_t{1}, registry.DropSilent(kStart + Seconds(6)).size());
   }
 
-  void DrainingOfTheFormerLifeIsForgotten() {
+  void DrainingOfThePreviousIncarnationIsReset() {
     LeafRegistry registry({});
     registry.OnReport(kStart, Report(1000, 50, true));
     registry.OnReport(kStart, Report(2000, 1));
     CPPUNIT_ASSERT(!registry.Find("a")->draining);
   }
 
-  void DepartureIsOfOneLife() {
+  void DepartureAppliesToOneIncarnation() {
     LeafRegistry registry({});
     registry.OnReport(kStart, Report(2000, 1));
     CPPUNIT_ASSERT(!registry.OnDeparture(kStart, "a", 1000));
     CPPUNIT_ASSERT(!registry.Find("a")->draining);
     CPPUNIT_ASSERT(registry.OnDeparture(kStart, "a", 2000));
     CPPUNIT_ASSERT(registry.Find("a")->draining);
-    // A later life says that it leaves before any heartbeat of it came.
+    // A later incarnation announces its departure before its first heartbeat.
     CPPUNIT_ASSERT(registry.OnDeparture(kStart, "a", 3000));
     CPPUNIT_ASSERT(registry.OnReport(kStart, Report(2000, 9)) == ReportVerdict::kStale);
     registry.OnReport(kStart, Report(3000, 1));
     CPPUNIT_ASSERT(registry.Find("a")->draining);
   }
 
-  void DepartureThatNamesNoLifeIsOfTheKnownOne() {
+  void DepartureWithoutIncarnationAppliesToTheCurrentOne() {
     LeafRegistry registry({});
     registry.OnReport(kStart, Report(2000, 1));
     CPPUNIT_ASSERT(registry.OnDeparture(kStart, "a"));
@@ -82,7 +82,7 @@
     CPPUNIT_ASSERT_EQUAL(uint64_t{2000}, registry.Find("a")->born_ms);
   }
 
-  void NewLifeIsAsColdAsItSays() {
+  void NewIncarnationReportsItsOwnColdTime() {
     LeafRegistry registry({});
     LeafReport report = Report(1000, 1);
     report.record.cold_milliseconds = 9000;
@@ -92,27 +92,27 @@
                          registry.ChangesSince(kStart, 0).records.front().cold_milliseconds);
   }
 
-  void NewLifeMayHaveAnotherAddress() {
+  void NewIncarnationMayHaveAnotherAddress() {
     LeafRegistry registry({});
     registry.OnReport(kStart, Report(1000, 9));
     LeafReport moved = Report(2000, 1);
     moved.record.address = "10.0.0.2:80";
     CPPUNIT_ASSERT(registry.OnReport(kStart, moved) == ReportVerdict::kReborn);
-    // Its old one is free for another leaf, however late in its life.
+    // The previous address is free for another leaf, even with a high sequence number.
     LeafReport other = Report(1500, 40);
     other.record.leaf = "b";
     CPPUNIT_ASSERT(registry.OnReport(kStart, other) == ReportVerdict::kNew);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, registry.size());
   }
 
-  void LifeThatSaysNothingIsJudgedByItsSequence() {
+  void UnknownIncarnationIsOrderedBySequence() {
     LeafRegistry registry({});
     registry.OnReport(kStart, Report(0, 5));
     CPPUNIT_ASSERT(registry.OnReport(kStart, Report(0, 5)) == ReportVerdict::kStale);
-    CPPUNIT_ASSERT(registry.OnReport(kStart, Report(0, 6)) == ReportVerdict::kKnown);
+    CPPUNIT_ASSERT(registry.OnReport(kStart, Report(0, 6)) == ReportVerdict::kUnchanged);
   }
 
-  void ReceiversHearOfTheNewLife() {
+  void ReceiversGetTheNewIncarnation() {
     LeafRegistry registry({});
     registry.OnReport(kStart, Report(1000, 9));
     const uint64_t seen = registry.version();
@@ -123,6 +123,6 @@
     CPPUNIT_ASSERT(feed.gone.empty());
   }
 };
-CPPUNIT_TEST_SUITE_REGISTRATION(LeafLivesTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(LeafIncarnationsTest);
 
 }  // namespace pumicedyke::registry
--- a/test/registry/leaf_registry_test.cc
+++ b/test/registry/leaf_registry_test.cc
@@ -1,4 +1,4 @@
-// Leafs by their heartbeats: late ones, draining, silence, and what a receiver is told of changes.
+// Tests late heartbeats, draining, silence, address conflicts and the feed of changes.
 #include "registry/leaf_registry.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -39,18 +39,18 @@
 
 class LeafRegistryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LeafRegistryTest);
-  CPPUNIT_TEST(LateHeartbeatSaysNothing);
-  CPPUNIT_TEST(DrainingIsNeverTakenBack);
+  CPPUNIT_TEST(LateHeartbeatIsIgnored);
+  CPPUNIT_TEST(DrainingIsNeverRevoked);
   CPPUNIT_TEST(SilentLeafIsDropped);
-  CPPUNIT_TEST(ForgivenSilenceStartsAnew);
+  CPPUNIT_TEST(SilenceRestartsAfterReset);
   CPPUNIT_TEST(DepartureOfUnknownLeafIsHarmless);
-  CPPUNIT_TEST(ReceiverThatFollowsChangesHasTheWhole);
+  CPPUNIT_TEST(ReceiverThatFollowsChangesHasAllRecords);
   CPPUNIT_TEST(LeafBecomesColdAgain);
-  CPPUNIT_TEST(LateWordOfAnEndedLeafTakesNoAddress);
-  CPPUNIT_TEST(LateWordsAtOnceTakeNoAddress);
-  CPPUNIT_TEST(LeafThatStartsTakesTheAddressAtOnce);
-  CPPUNIT_TEST(LeafThatGoesOnReportingTakesTheAddressOfASilentOne);
-  CPPUNIT_TEST(LateWordIsNotBelievedWhereTheHolderReportsElsewhere);
+  CPPUNIT_TEST(LateHeartbeatOfAStoppedLeafTakesNoAddress);
+  CPPUNIT_TEST(BurstOfLateHeartbeatsTakesNoAddress);
+  CPPUNIT_TEST(StartingLeafTakesTheAddressAtOnce);
+  CPPUNIT_TEST(LeafThatKeepsReportingTakesTheAddressOfASilentOne);
+  CPPUNIT_TEST(LateHeartbeatIsUnconfirmedIfTheHolderReportsElsewhere);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -63,13 +63,13 @@
     report.sequence = 2;
     report.record.cold_milliseconds = 3000;
     CPPUNIT_ASSERT(registry.OnReport(kStart, report) == ReportVerdict::kChanged);
-    // Whoever is told later is told what is left by then.
+    // A later receiver gets the cold time left at that point.
     const Timestamp later = kStart + Seconds(1);
     CPPUNIT_ASSERT_EQUAL(uint64_t{2000},
                          registry.ChangesSince(later, 0).records.front().cold_milliseconds);
     report.sequence = 3;
     report.record.cold_milliseconds = 2000;
-    CPPUNIT_ASSERT(registry.OnReport(later, report) == ReportVerdict::kKnown);
+    CPPUNIT_ASSERT(registry.OnReport(later, report) == ReportVerdict::kUnchanged);
   }
 
   static LeafReport At(const std::string& address, const std::string& leaf, uint64_t sequence) {
@@ -78,7 +78,7 @@
     return report;
   }
 
-  void LateWordOfAnEndedLeafTakesNoAddress() {
+  void LateHeartbeatOfAStoppedLeafTakesNoAddress() {
     LeafRegistry registry({});
     registry.OnReport(kStart, At("x:80", "living", 1));
     const ReportVerdict verdict =
@@ -90,7 +90,7 @@
     CPPUNIT_ASSERT(registry.Find("living") != nullptr);
   }
 
-  void LateWordsAtOnceTakeNoAddress() {
+  void BurstOfLateHeartbeatsTakesNoAddress() {
     LeafRegistry registry({});
     registry.OnReport(kStart, At("x:80", "living", 1));
     for (uint64_t sequence = 7; sequence < 10; ++sequence) {
@@ -100,18 +100,18 @@
     CPPUNIT_ASSERT(registry.Find("ended") == nullptr);
   }
 
-  void LeafThatStartsTakesTheAddressAtOnce() {
+  void StartingLeafTakesTheAddressAtOnce() {
     LeafRegistry registry({});
     registry.OnReport(kStart, At("x:80", "ended", 9));
     CPPUNIT_ASSERT(registry.OnReport(kStart + Milliseconds(800), At("x:80", "new", 1)) ==
                    ReportVerdict::kNew);
     CPPUNIT_ASSERT(registry.Find("ended") == nullptr);
-    // The ended one's word that was on its way comes after all.
+    // A heartbeat of the stopped leaf that was still in transit arrives.
     CPPUNIT_ASSERT(registry.OnReport(kStart + Milliseconds(900), At("x:80", "ended", 10)) ==
                    ReportVerdict::kUnconfirmed);
   }
 
-  void LeafThatGoesOnReportingTakesTheAddressOfASilentOne() {
+  void LeafThatKeepsReportingTakesTheAddressOfASilentOne() {
     LeafRegistry registry({});
     registry.OnReport(kStart, At("x:80", "ended", 9));
     registry.OnReport(kStart + Milliseconds(600), At("x:80", "new", 5));
@@ -121,26 +121,26 @@
     CPPUNIT_ASSERT(registry.Find("ended") == nullptr);
   }
 
-  void LateWordIsNotBelievedWhereTheHolderReportsElsewhere() {
+  void LateHeartbeatIsUnconfirmedIfTheHolderReportsElsewhere() {
     LeafRegistry registry({});
     const std::string living = "living";
     CPPUNIT_ASSERT(registry.OnReport(kStart, At("x:80", "ended", 7), &living) ==
                    ReportVerdict::kUnconfirmed);
-    // A leaf that lives goes on reporting.
+    // A leaf that is alive keeps reporting.
     CPPUNIT_ASSERT(registry.OnReport(kStart + Milliseconds(1200), At("x:80", "ended", 8),
                                      &living) == ReportVerdict::kNew);
   }
 
-  void LateHeartbeatSaysNothing() {
+  void LateHeartbeatIsIgnored() {
     LeafRegistry registry({});
     CPPUNIT_ASSERT(registry.OnReport(kStart, Report("a", 5)) == ReportVerdict::kNew);
     CPPUNIT_ASSERT(registry.OnReport(kStart, Report("a", 4, true)) == ReportVerdict::kStale);
     CPPUNIT_ASSERT(!registry.Find("a")->draining);
-    CPPUNIT_ASSERT(registry.OnReport(kStart, Report("a", 6)) == ReportVerdict::kKnown);
+    CPPUNIT_ASSERT(registry.OnReport(kStart, Report("a", 6)) == ReportVerdict::kUnchanged);
     CPPUNIT_ASSERT(registry.OnReport(kStart, Report("a", 7, true)) == ReportVerdict::kChanged);
   }
 
-  void DrainingIsNeverTakenBack() {
+  void DrainingIsNeverRevoked() {
     LeafRegistry registry({});
     registry.OnReport(kStart, Report("a", 1));
     CPPUNIT_ASSERT(registry.OnDeparture(kStart, "a"));
@@ -159,7 +159,7 @@
     CPPUNIT_ASSERT(registry.Find("b") != nullptr);
   }
 
-  void ForgivenSilenceStartsAnew() {
+  void SilenceRestartsAfterReset() {
     LeafRegistry registry({.silence_limit = Seconds(6)});
     registry.OnReport(kStart, Report("a", 1));
     registry.ForgiveSilence(kStart + Seconds(20));
@@ -174,32 +174,33 @@
     CPPUNIT_ASSERT_EQUAL(before, registry.version());
   }
 
-  void ReceiverThatFollowsChangesHasTheWhole() {
-    const bool held = rc::check("a receiver that follows has the whole", [] {
-      LeafRegistry registry({.silence_limit = Seconds(6), .kept_removals = 3});
-      std::map<std::string, wire::LeafRecord> view;
-      uint64_t version = 0;
-      Timestamp now = kStart;
-      const int steps = *rc::gen::inRange(1, 60);
-      for (int i = 0; i < steps; ++i) {
-        now += Milliseconds(*rc::gen::inRange(0, 1500));
-        const std::string leaf = "leaf" + std::to_string(*rc::gen::inRange(0, 6));
-        registry.OnReport(now,
-                          Report(leaf, static_cast<uint64_t>(i) + 1, *rc::gen::arbitrary<bool>()));
-        registry.DropSilent(now);
-        // The receiver hears of some moments only.
-        if (*rc::gen::inRange(0, 3) == 0) {
-          const wire::LeafFeed feed = registry.ChangesSince(now, version);
-          Apply(feed, &view);
-          version = feed.version;
-        }
-      }
-      Apply(registry.ChangesSince(now, version), &view);
-      std::map<std::string, wire::LeafRecord> whole;
-      Apply(registry.ChangesSince(now, 0), &whole);
-      RC_ASSERT(view == whole);
-    });
-    CPPUNIT_ASSERT(held);
+  void ReceiverThatFollowsChangesHasAllRecords() {
+    const bool property_holds =
+        rc::check("a receiver that follows the changes has all records", [] {
+          LeafRegistry registry({.silence_limit = Seconds(6), .retained_removals = 3});
+          std::map<std::string, wire::LeafRecord> view;
+          uint64_t version = 0;
+          Timestamp now = kStart;
+          const int steps = *rc::gen::inRange(1, 60);
+          for (int i = 0; i < steps; ++i) {
+            now += Milliseconds(*rc::gen::inRange(0, 1500));
+            const std::string leaf = "leaf" + std::to_string(*rc::gen::inRange(0, 6));
+            registry.OnReport(
+                now, Report(leaf, static_cast<uint64_t>(i) + 1, *rc::gen::arbitrary<bool>()));
+            registry.DropSilent(now);
+            // The receiver polls only at some of the steps.
+            if (*rc::gen::inRange(0, 3) == 0) {
+              const wire::LeafFeed feed = registry.ChangesSince(now, version);
+              Apply(feed, &view);
+              version = feed.version;
+            }
+          }
+          Apply(registry.ChangesSince(now, version), &view);
+          std::map<std::string, wire::LeafRecord> full;
+          Apply(registry.ChangesSince(now, 0), &full);
+          RC_ASSERT(view == full);
+        });
+    CPPUNIT_ASSERT(property_holds);
   }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(LeafRegistryTest);
