--- a/src/limits/keeper_placement.cc
+++ b/src/limits/keeper_placement.cc
@@ -9,7 +9,8 @@
 namespace pumicedyke::limits {
 namespace {
 
-/// Of SplitMix64 (Steele, Lea and Flood, "Fast Splittable Pseudorandom Number Generators", 2014).
+/// The finalizer of SplitMix64 (Steele, Lea and Flood, "Fast Splittable Pseudorandom Number
+/// Generators", 2014).
 uint64_t Mix(uint64_t value) {
   value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9;
   value = (value ^ (value >> 27)) * 0x94d049bb133111eb;
@@ -20,8 +21,8 @@
 
 }  // namespace
 
-void KeeperPlacement::Offer(Place* place, const Gateway& gateway) {
-  const auto before = [&](const Gateway* other) {
+void KeeperPlacement::ConsiderGateway(AccountPlace* place, const Gateway& gateway) {
+  const auto ranks_before = [&](const Gateway* other) {
     if (other == nullptr) {
       return true;
     }
@@ -29,18 +30,18 @@
     const uint64_t theirs = Score(place->hash, other->hash);
     return mine != theirs ? mine > theirs : gateway.record.node < other->record.node;
   };
-  if (before(place->first)) {
-    place->second = std::exchange(place->first, &gateway);
-  } else if (before(place->second)) {
-    place->second = &gateway;
+  if (ranks_before(place->primary)) {
+    place->reserve = std::exchange(place->primary, &gateway);
+  } else if (ranks_before(place->reserve)) {
+    place->reserve = &gateway;
   }
 }
 
-void KeeperPlacement::Fill(Place* place) const {
-  place->first = nullptr;
-  place->second = nullptr;
+void KeeperPlacement::ChooseLenders(AccountPlace* place) const {
+  place->primary = nullptr;
+  place->reserve = nullptr;
   for (const auto& [node, gateway] : gateways_) {
-    Offer(place, *gateway);
+    ConsiderGateway(place, *gateway);
   }
 }
 
@@ -51,7 +52,7 @@
     const auto [it, is_new] = places_.try_emplace(account);
     if (is_new) {
       it->second.hash = XXH64(account.tenant.data(), account.tenant.size(), account.part);
-      Fill(&it->second);
+      ChooseLenders(&it->second);
     }
   }
 }
@@ -61,7 +62,7 @@
   for (const LimitGateway& gateway : gateways) {
     wanted[gateway.node] = &gateway;
   }
-  std::vector<std::unique_ptr<Gateway>> gone;
+  std::vector<std::unique_ptr<Gateway>> removed;
   for (auto it = gateways_.begin(); it != gateways_.end();) {
     const auto found = wanted.find(it->first);
     if (found != wanted.end()) {
@@ -69,16 +70,16 @@
       ++it;
       continue;
     }
-    gone.push_back(std::move(it->second));
+    removed.push_back(std::move(it->second));
     it = gateways_.erase(it);
   }
-  const auto left = [&](const Gateway* gateway) {
-    return std::any_of(gone.begin(), gone.end(),
+  const auto was_removed = [&](const Gateway* gateway) {
+    return std::any_of(removed.begin(), removed.end(),
                        [&](const auto& lost) { return lost.get() == gateway; });
   };
   for (auto& [account, place] : places_) {
-    if (left(place.first) || left(place.second)) {
-      Fill(&place);
+    if (was_removed(place.primary) || was_removed(place.reserve)) {
+      ChooseLenders(&place);
     }
   }
   for (const auto& [node, record] : wanted) {
@@ -89,34 +90,34 @@
     gateway->record = *record;
     gateway->hash = XXH64(node.data(), node.size(), 0);
     for (auto& [account, place] : places_) {
-      Offer(&place, *gateway);
+      ConsiderGateway(&place, *gateway);
     }
     gateways_[node] = std::move(gateway);
   }
 }
 
-Keepers KeeperPlacement::Find(const AccountId& account) const {
+Lenders KeeperPlacement::Find(const AccountId& account) const {
   const auto it = places_.find(account);
   if (it == places_.end()) {
     return {};
   }
-  const Place& place = it->second;
-  return {place.first == nullptr ? nullptr : &place.first->record,
-          place.second == nullptr ? nullptr : &place.second->record};
+  const AccountPlace& place = it->second;
+  return {place.primary == nullptr ? nullptr : &place.primary->record,
+          place.reserve == nullptr ? nullptr : &place.reserve->record};
 }
 
-std::vector<AccountId> KeeperPlacement::KeptBy(const std::string& node) const {
+std::vector<AccountId> KeeperPlacement::AccountsLentBy(const std::string& node) const {
   const auto it = gateways_.find(node);
   if (it == gateways_.end()) {
     return {};
   }
-  std::vector<AccountId> kept;
+  std::vector<AccountId> accounts;
   for (const auto& [account, place] : places_) {
-    if (place.first == it->second.get() || place.second == it->second.get()) {
-      kept.push_back(account);
+    if (place.primary == it->second.get() || place.reserve == it->second.get()) {
+      accounts.push_back(account);
     }
   }
-  return kept;
+  return accounts;
 }
 
 }  // namespace pumicedyke::limits
--- a/src/limits/keeper_placement.h
+++ b/src/limits/keeper_placement.h
@@ -1,6 +1,6 @@
-// Which gateways keep which accounts: rendezvous hashing, so that all that know the same gateways
-// name the same keepers without a word to each other, and one that comes or goes moves only its
-// own accounts. Kept up to date change by change: an account costs one hash per gateway that comes.
+// Assigns accounts to gateways by rendezvous hashing. All gateways with the same view choose the
+// same lenders without communication, and adding or removing a gateway moves only its own accounts.
+// The assignment is updated incrementally: a new gateway costs one hash per account.
 #pragma once
 
 #include <cstdint>
@@ -14,14 +14,15 @@
 
 namespace pumicedyke::limits {
 
-/// Null: there is none.
-struct Keepers {
+/// The lenders of an account; null if there is none.
+struct Lenders {
+  /// The primary lender.
   const LimitGateway* first = nullptr;
-  /// Keeps the reserve.
+  /// The reserve lender; lends from the account's reserve.
   const LimitGateway* second = nullptr;
 };
 
-/// Lives on one thread.
+/// Not thread-safe.
 class KeeperPlacement {
  public:
   KeeperPlacement() = default;
@@ -31,10 +32,11 @@
   void SetAccounts(const std::vector<AccountId>& accounts);
   void SetGateways(const std::vector<LimitGateway>& gateways);
 
-  /// @return nobody for an account that is not known. Valid until the next SetGateways().
-  Keepers Find(const AccountId& account) const;
-  /// The accounts that a gateway keeps or whose reserve it keeps.
-  std::vector<AccountId> KeptBy(const std::string& node) const;
+  /// Returns the lenders of an account, none for an unknown one. Valid until the next
+  /// SetGateways().
+  Lenders Find(const AccountId& account) const;
+  /// Returns the accounts of which the gateway is the primary or the reserve lender.
+  std::vector<AccountId> AccountsLentBy(const std::string& node) const;
   size_t gateways() const { return gateways_.size(); }
 
  private:
@@ -42,17 +44,17 @@
     LimitGateway record;
     uint64_t hash = 0;
   };
-  struct Place {
+  struct AccountPlace {
     uint64_t hash = 0;
-    const Gateway* first = nullptr;
-    const Gateway* second = nullptr;
+    const Gateway* primary = nullptr;
+    const Gateway* reserve = nullptr;
   };
 
-  void Fill(Place* place) const;
-  static void Offer(Place* place, const Gateway& gateway);
+  void ChooseLenders(AccountPlace* place) const;
+  static void ConsiderGateway(AccountPlace* place, const Gateway& gateway);
 
   std::map<std::string, std::unique_ptr<Gateway>> gateways_;
-  std::map<AccountId, Place> places_;
+  std::map<AccountId, AccountPlace> places_;
 };
 
 }  // namespace pumicedyke::limits
--- a/src/limits/limit_borrower.cc
+++ b/src/limits/limit_borrower.cc
@@ -9,19 +9,21 @@
 namespace pumicedyke::limits {
 namespace {
 
-/// Tokens for this part of what is expected within their lifetime are asked for ahead.
-constexpr double kAheadPart = 0.5;
-/// Of the golden ratio: its multiples spread evenly over the unit interval, however many are taken.
-constexpr double kSpread = 0.6180339887498949;
-/// Gateways begin at different multiples.
-constexpr uint64_t kSpreadStarts = 1000000;
-/// An answer that comes this long after its question brings nothing that may still be used.
-constexpr Duration kAnswersCount = Seconds(2);
-
-/// A tenant may have gone and come again since the question was sent.
-template <typename Borrowing>
-void Close(Borrowing* borrowing) {
-  borrowing->open -= std::min<size_t>(borrowing->open, 1);
+/// Share of the demand expected within the tokens' lifetime that is requested in advance.
+constexpr double kPrefetchShare = 0.5;
+/// Fractional part of the golden ratio: any number of its multiples, modulo 1, spread evenly over
+/// the unit interval.
+constexpr double kRetrySpreadStep = 0.6180339887498949;
+/// Number of multiples at which gateways may start.
+constexpr uint64_t kRetrySpreadOffsets = 1000000;
+/// A reply that arrives later than this contains no tokens that may still be used.
+constexpr Duration kReplyTimeout = Seconds(2);
+
+/// Closes a limit request. The count may be zero: the tenant may have been removed and added again
+/// since the request was sent.
+template <typename TenantState>
+void CloseRequest(TenantState* state) {
+  state->open_requests -= std::min<size_t>(state->open_requests, 1);
 }
 
 double InSeconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
@@ -29,60 +31,60 @@
 }  // namespace
 
 LimitBorrower::LimitBorrower(BorrowerOptions options, std::string node,
-                             const KeeperPlacement* placement, LimitKeeper* keeper,
+                             const KeeperPlacement* placement, LimitKeeper* lender,
                              uint64_t* next_id)
     : options_(options),
       node_(std::move(node)),
       placement_(placement),
-      keeper_(keeper),
+      lender_(lender),
       next_id_(next_id) {}
 
 void LimitBorrower::SetTenants(const std::map<std::string, uint32_t>& parts) {
   parts_ = parts;
-  for (auto it = borrowings_.begin(); it != borrowings_.end();) {
+  for (auto it = tenants_.begin(); it != tenants_.end();) {
     const auto found = parts_.find(it->first);
     if (found != parts_.end()) {
-      Cut(found->second, &it->second);
+      SetParts(found->second, &it->second);
       ++it;
       continue;
     }
     for (const RequestId id : it->second.queued) {
-      output_.decisions.push_back({id, false, options_.unknown_retry});
+      output_.decisions.push_back({id, false, options_.default_retry_after});
     }
-    it = borrowings_.erase(it);
+    it = tenants_.erase(it);
   }
 }
 
-void LimitBorrower::Cut(uint32_t parts, Borrowing* borrowing) const {
+void LimitBorrower::SetParts(uint32_t parts, TenantState* state) const {
   const uint64_t hash = XXH64(node_.data(), node_.size(), 0);
-  borrowing->parts = parts;
-  borrowing->preferred = static_cast<uint32_t>(hash % parts);
-  borrowing->spent_until.assign(parts, Timestamp{});
-  if (borrowing->refusals == 0) {
-    borrowing->refusals = hash % kSpreadStarts;
+  state->parts = parts;
+  state->preferred = static_cast<uint32_t>(hash % parts);
+  state->exhausted_until.assign(parts, Timestamp{});
+  if (state->refusals == 0) {
+    state->refusals = hash % kRetrySpreadOffsets;
   }
 }
 
-LimitBorrower::Borrowing* LimitBorrower::BorrowingOf(const std::string& tenant) {
+LimitBorrower::TenantState* LimitBorrower::FindOrAddTenant(const std::string& tenant) {
   const auto parts = parts_.find(tenant);
   if (parts == parts_.end()) {
     return nullptr;
   }
-  const auto [it, is_new] = borrowings_.try_emplace(tenant);
+  const auto [it, is_new] = tenants_.try_emplace(tenant);
   if (is_new) {
-    Cut(parts->second, &it->second);
+    SetParts(parts->second, &it->second);
   }
   return &it->second;
 }
 
-void LimitBorrower::NoteDemand(Timestamp now, Borrowing* borrowing) const {
-  const double passed = InSeconds(now - borrowing->demand_at) / InSeconds(options_.demand_window);
-  borrowing->demand = borrowing->demand * std::exp(-std::max(0.0, passed)) + 1;
-  borrowing->demand_at = now;
+void LimitBorrower::RecordDemand(Timestamp now, TenantState* state) const {
+  const double elapsed = InSeconds(now - state->demand_at) / InSeconds(options_.demand_window);
+  state->demand = state->demand * std::exp(-std::max(0.0, elapsed)) + 1;
+  state->demand_at = now;
 }
 
-bool LimitBorrower::UseBatch(Timestamp now, Borrowing* borrowing) {
-  for (Batch& batch : borrowing->batches) {
+bool LimitBorrower::TakeFromBatch(Timestamp now, TenantState* state) {
+  for (Batch& batch : state->batches) {
     if (batch.count > 0 && now < batch.until) {
       --batch.count;
       return true;
@@ -91,39 +93,40 @@
   return false;
 }
 
-uint32_t LimitBorrower::Ahead(const Borrowing& borrowing, const AccountId& account) const {
-  const double a_second = borrowing.demand / InSeconds(options_.demand_window);
-  const double expected = a_second * InSeconds(keeper_->LifetimeOf(account)) * kAheadPart;
-  return std::min(options_.max_ahead, static_cast<uint32_t>(std::max(0.0, expected)));
+uint32_t LimitBorrower::PrefetchCount(const TenantState& state, const AccountId& account) const {
+  const double per_second = state.demand / InSeconds(options_.demand_window);
+  const double expected = per_second * InSeconds(lender_->LifetimeOf(account)) * kPrefetchShare;
+  return std::min(options_.max_prefetch, static_cast<uint32_t>(std::max(0.0, expected)));
 }
 
 const LimitGateway* LimitBorrower::GatewayOf(const std::string& tenant, Candidate candidate) const {
-  const Keepers keepers = placement_->Find({tenant, candidate.part});
-  return candidate.second ? keepers.second : keepers.first;
+  const Lenders lenders = placement_->Find({tenant, candidate.part});
+  return candidate.reserve ? lenders.second : lenders.first;
 }
 
-bool LimitBorrower::Suspected(Timestamp now, const LimitGateway& gateway) const {
+bool LimitBorrower::IsSuspected(Timestamp now, const LimitGateway& gateway) const {
   const auto it = suspected_until_.find(gateway.address);
   return it != suspected_until_.end() && now < it->second;
 }
 
-std::optional<LimitBorrower::Candidate> LimitBorrower::Next(Timestamp now, const Pursuit& pursuit,
-                                                            const Borrowing& borrowing) const {
+std::optional<LimitBorrower::Candidate> LimitBorrower::Next(Timestamp now,
+                                                            const TokenSearch& search,
+                                                            const TenantState& state) const {
   const auto tried = [&](const Tried& one) {
-    return std::find(pursuit.tried.begin(), pursuit.tried.end(), one) != pursuit.tried.end();
+    return std::find(search.tried.begin(), search.tried.end(), one) != search.tried.end();
   };
-  // The reserve is for accounts whose keeper cannot be had; suspects come last.
+  // The reserve is for accounts whose primary lender is unreachable; suspected gateways come last.
   for (const bool suspects : {false, true}) {
-    for (const bool second : {false, true}) {
-      for (uint32_t i = 0; i < borrowing.parts; ++i) {
-        const Candidate candidate{(borrowing.preferred + i) % borrowing.parts, second};
-        const LimitGateway* gateway = GatewayOf(pursuit.tenant, candidate);
-        const bool spent = now < borrowing.spent_until[candidate.part];
-        if (gateway == nullptr || spent || tried({candidate.part, gateway->node})) {
+    for (const bool reserve : {false, true}) {
+      for (uint32_t i = 0; i < state.parts; ++i) {
+        const Candidate candidate{(state.preferred + i) % state.parts, reserve};
+        const LimitGateway* gateway = GatewayOf(search.tenant, candidate);
+        const bool exhausted = now < state.exhausted_until[candidate.part];
+        if (gateway == nullptr || exhausted || tried({candidate.part, gateway->node})) {
           continue;
         }
         const bool local = gateway->node == node_;
-        if (local || Suspected(now, *gateway) == suspects) {
+        if (local || IsSuspected(now, *gateway) == suspects) {
           return candidate;
         }
       }
@@ -132,114 +135,114 @@
   return std::nullopt;
 }
 
-uint32_t LimitBorrower::Spend(uint32_t count, Pursuit* pursuit) {
-  const auto served = std::min<size_t>(count, pursuit->requests.size());
+uint32_t LimitBorrower::GrantRequests(uint32_t count, TokenSearch* search) {
+  const auto served = std::min<size_t>(count, search->requests.size());
   for (size_t i = 0; i < served; ++i) {
-    output_.decisions.push_back({pursuit->requests[i], true, {}});
+    output_.decisions.push_back({search->requests[i], true, {}});
   }
-  pursuit->requests.erase(pursuit->requests.begin(),
-                          pursuit->requests.begin() + static_cast<long>(served));
+  search->requests.erase(search->requests.begin(),
+                         search->requests.begin() + static_cast<long>(served));
   return count - static_cast<uint32_t>(served);
 }
 
-void LimitBorrower::NoteSpent(Timestamp now, Candidate candidate, Duration retry_after,
-                              Pursuit* pursuit) {
-  const auto it = borrowings_.find(pursuit->tenant);
-  if (it == borrowings_.end() || candidate.part >= it->second.parts) {
+void LimitBorrower::RecordExhausted(Timestamp now, Candidate candidate, Duration retry_after,
+                                    TokenSearch* search) {
+  const auto it = tenants_.find(search->tenant);
+  if (it == tenants_.end() || candidate.part >= it->second.parts) {
     return;
   }
-  const Duration holds =
-      candidate.second ? std::min(retry_after, options_.longest_without_keeper) : retry_after;
-  it->second.spent_until[candidate.part] = now + holds;
-  pursuit->retry_after =
-      pursuit->retry_after.count() == 0 ? holds : std::min(pursuit->retry_after, holds);
+  const Duration hold =
+      candidate.reserve ? std::min(retry_after, options_.max_reserve_hold) : retry_after;
+  it->second.exhausted_until[candidate.part] = now + hold;
+  search->retry_after =
+      search->retry_after.count() == 0 ? hold : std::min(search->retry_after, hold);
 }
 
-Duration LimitBorrower::RetryAfter(Timestamp now, Borrowing* borrowing, Duration hint) const {
+Duration LimitBorrower::RetryAfter(Timestamp now, TenantState* state, Duration hint) const {
   Duration soonest = hint;
-  for (const Timestamp until : borrowing->spent_until) {
+  for (const Timestamp until : state->exhausted_until) {
     if (until > now) {
       soonest = soonest.count() == 0 ? until - now : std::min(soonest, until - now);
     }
   }
-  soonest = std::max(soonest, options_.unknown_retry);
-  const double turn = static_cast<double>(++borrowing->refusals) * kSpread;
-  const double spread = (turn - std::floor(turn)) * static_cast<double>(soonest.count());
+  soonest = std::max(soonest, options_.default_retry_after);
+  const double position = static_cast<double>(++state->refusals) * kRetrySpreadStep;
+  const double spread = (position - std::floor(position)) * static_cast<double>(soonest.count());
   return soonest + Duration(static_cast<int64_t>(spread));
 }
 
-void LimitBorrower::RefuseAll(Timestamp now, Pursuit* pursuit) {
-  const auto it = borrowings_.find(pursuit->tenant);
-  for (const RequestId id : pursuit->requests) {
-    const Duration retry_after = it == borrowings_.end()
-                                     ? options_.unknown_retry
-                                     : RetryAfter(now, &it->second, pursuit->retry_after);
+void LimitBorrower::RefuseAll(Timestamp now, TokenSearch* search) {
+  const auto it = tenants_.find(search->tenant);
+  for (const RequestId id : search->requests) {
+    const Duration retry_after = it == tenants_.end()
+                                     ? options_.default_retry_after
+                                     : RetryAfter(now, &it->second, search->retry_after);
     output_.decisions.push_back({id, false, retry_after});
   }
-  pursuit->requests.clear();
+  search->requests.clear();
 }
 
-void LimitBorrower::Send(Timestamp now, Pursuit pursuit, Candidate candidate,
+void LimitBorrower::Send(Timestamp now, TokenSearch search, Candidate candidate,
                          const LimitGateway& gateway) {
-  Borrowing& borrowing = borrowings_.at(pursuit.tenant);
-  const AccountId account{pursuit.tenant, candidate.part};
+  TenantState& state = tenants_.at(search.tenant);
+  const AccountId account{search.tenant, candidate.part};
   wire::LimitAsk ask;
   ask.id = (*next_id_)++;
-  ask.tenant = pursuit.tenant;
+  ask.tenant = search.tenant;
   ask.part = candidate.part;
-  ask.wanted = static_cast<uint32_t>(pursuit.requests.size()) +
-               (candidate.second ? 0 : Ahead(borrowing, account));
-  ++borrowing.open;
-  ++pursuit.questions;
-  due_.emplace(now + options_.patience, ask.id);
-  questions_[ask.id] = {std::move(pursuit), candidate, gateway.address, now, false};
+  ask.wanted = static_cast<uint32_t>(search.requests.size()) +
+               (candidate.reserve ? 0 : PrefetchCount(state, account));
+  ++state.open_requests;
+  ++search.requests_sent;
+  due_.emplace(now + options_.lender_timeout, ask.id);
+  pending_[ask.id] = {std::move(search), candidate, gateway.address, now, false};
   output_.questions.push_back({gateway.address, std::move(ask)});
 }
 
-void LimitBorrower::Pursue(Timestamp now, Pursuit pursuit) {
-  while (!pursuit.requests.empty()) {
-    const auto it = borrowings_.find(pursuit.tenant);
+void LimitBorrower::ContinueSearch(Timestamp now, TokenSearch search) {
+  while (!search.requests.empty()) {
+    const auto it = tenants_.find(search.tenant);
     const std::optional<Candidate> candidate =
-        it == borrowings_.end() ? std::nullopt : Next(now, pursuit, it->second);
-    if (!candidate.has_value() || pursuit.questions >= options_.max_questions) {
-      RefuseAll(now, &pursuit);
+        it == tenants_.end() ? std::nullopt : Next(now, search, it->second);
+    if (!candidate.has_value() || search.requests_sent >= options_.max_lenders_tried) {
+      RefuseAll(now, &search);
       return;
     }
-    const LimitGateway* gateway = GatewayOf(pursuit.tenant, *candidate);
-    pursuit.tried.push_back({candidate->part, gateway->node});
+    const LimitGateway* gateway = GatewayOf(search.tenant, *candidate);
+    search.tried.push_back({candidate->part, gateway->node});
     if (gateway->node != node_) {
-      Send(now, std::move(pursuit), *candidate, *gateway);
+      Send(now, std::move(search), *candidate, *gateway);
       return;
     }
-    const Lent lent = keeper_->Lend(now, {pursuit.tenant, candidate->part},
-                                    static_cast<uint32_t>(pursuit.requests.size()));
-    Spend(lent.count, &pursuit);
+    const LendResult lent = lender_->Lend(now, {search.tenant, candidate->part},
+                                          static_cast<uint32_t>(search.requests.size()));
+    GrantRequests(lent.count, &search);
     if (lent.retry_after.count() > 0) {
-      NoteSpent(now, *candidate, lent.retry_after, &pursuit);
+      RecordExhausted(now, *candidate, lent.retry_after, &search);
     }
   }
 }
 
 LimitAnswer LimitBorrower::Admit(Timestamp now, RequestId id, const std::string& tenant) {
-  Borrowing* found = BorrowingOf(tenant);
+  TenantState* found = FindOrAddTenant(tenant);
   if (found == nullptr) {
-    return {LimitVerdict::kRefused, options_.unknown_retry};
+    return {LimitVerdict::kRefused, options_.default_retry_after};
   }
-  Borrowing& borrowing = *found;
-  NoteDemand(now, &borrowing);
-  if (UseBatch(now, &borrowing)) {
+  TenantState& state = *found;
+  RecordDemand(now, &state);
+  if (TakeFromBatch(now, &state)) {
     return {};
   }
-  const bool spent = std::all_of(borrowing.spent_until.begin(), borrowing.spent_until.end(),
-                                 [&](Timestamp until) { return now < until; });
-  if (spent || borrowing.queued.size() >= options_.max_queued) {
-    return {LimitVerdict::kRefused, RetryAfter(now, &borrowing, {})};
+  const bool exhausted = std::all_of(state.exhausted_until.begin(), state.exhausted_until.end(),
+                                     [&](Timestamp until) { return now < until; });
+  if (exhausted || state.queued.size() >= options_.max_queued) {
+    return {LimitVerdict::kRefused, RetryAfter(now, &state, {})};
   }
-  if (borrowing.open >= options_.max_open) {
-    borrowing.queued.push_back(id);
+  if (state.open_requests >= options_.max_open_requests) {
+    state.queued.push_back(id);
     return {LimitVerdict::kWaiting, {}};
   }
-  Pursue(now, {tenant, {id}, {}, 0, {}});
+  ContinueSearch(now, {tenant, {id}, {}, 0, {}});
   if (output_.decisions.empty() || output_.decisions.back().id != id) {
     return {LimitVerdict::kWaiting, {}};
   }
@@ -249,101 +252,100 @@
 }
 
 void LimitBorrower::Withdraw(RequestId id) {
-  for (auto& [question_id, question] : questions_) {
-    std::erase(question.pursuit.requests, id);
+  for (auto& [request_id, request] : pending_) {
+    std::erase(request.search.requests, id);
   }
-  for (auto& [tenant, borrowing] : borrowings_) {
-    std::erase(borrowing.queued, id);
+  for (auto& [tenant, state] : tenants_) {
+    std::erase(state.queued, id);
   }
 }
 
-void LimitBorrower::PursueQueued(Timestamp now, const std::string& tenant) {
-  const auto it = borrowings_.find(tenant);
-  if (it == borrowings_.end() || it->second.queued.empty() ||
-      it->second.open >= options_.max_open) {
+void LimitBorrower::SearchForQueued(Timestamp now, const std::string& tenant) {
+  const auto it = tenants_.find(tenant);
+  if (it == tenants_.end() || it->second.queued.empty() ||
+      it->second.open_requests >= options_.max_open_requests) {
     return;
   }
-  Pursuit pursuit{tenant, {}, {}, 0, {}};
+  TokenSearch search{tenant, {}, {}, 0, {}};
   for (const RequestId id : std::exchange(it->second.queued, {})) {
-    if (UseBatch(now, &it->second)) {
+    if (TakeFromBatch(now, &it->second)) {
       output_.decisions.push_back({id, true, {}});
     } else {
-      pursuit.requests.push_back(id);
+      search.requests.push_back(id);
     }
   }
-  Pursue(now, std::move(pursuit));
+  ContinueSearch(now, std::move(search));
 }
 
 void LimitBorrower::OnGrant(Timestamp now, const wire::LimitGrant& grant) {
-  const auto found = questions_.find(grant.id);
-  if (found == questions_.end()) {
+  const auto found = pending_.find(grant.id);
+  if (found == pending_.end()) {
     return;
   }
-  Question question = std::move(found->second);
-  questions_.erase(found);
-  suspected_until_.erase(question.address);
-  const auto it = borrowings_.find(question.pursuit.tenant);
-  if (it == borrowings_.end()) {
-    RefuseAll(now, &question.pursuit);
+  PendingRequest request = std::move(found->second);
+  pending_.erase(found);
+  suspected_until_.erase(request.address);
+  const auto it = tenants_.find(request.search.tenant);
+  if (it == tenants_.end()) {
+    RefuseAll(now, &request.search);
     return;
   }
-  Borrowing& borrowing = it->second;
-  if (!question.given_up) {
-    Close(&borrowing);
+  TenantState& state = it->second;
+  if (!request.abandoned) {
+    CloseRequest(&state);
   }
-  const Timestamp until = question.sent + grant.lifetime;
+  const Timestamp until = request.sent + grant.lifetime;
   if (grant.stage == wire::LimitStage::kGranted && now < until) {
-    const uint32_t left = Spend(grant.granted, &question.pursuit);
+    const uint32_t left = GrantRequests(grant.granted, &request.search);
     if (left > 0) {
-      borrowing.batches.push_back(
-          {grant.id, question.candidate.part, question.address, left, until});
-      expiring_.emplace(until, question.pursuit.tenant);
+      state.batches.push_back({grant.id, request.candidate.part, request.address, left, until});
+      expiring_.emplace(until, request.search.tenant);
     }
   }
   if (grant.retry_after.count() > 0) {
-    NoteSpent(now, question.candidate, grant.retry_after, &question.pursuit);
+    RecordExhausted(now, request.candidate, grant.retry_after, &request.search);
   }
-  const std::string tenant = question.pursuit.tenant;
-  Pursue(now, std::move(question.pursuit));
-  PursueQueued(now, tenant);
+  const std::string tenant = request.search.tenant;
+  ContinueSearch(now, std::move(request.search));
+  SearchForQueued(now, tenant);
 }
 
-void LimitBorrower::GiveUp(Timestamp now, uint64_t id) {
-  Question& question = questions_.at(id);
-  question.given_up = true;
-  suspected_until_[question.address] = now + options_.suspicion;
-  due_.emplace(question.sent + kAnswersCount, id);
-  const std::string tenant = question.pursuit.tenant;
-  const auto it = borrowings_.find(tenant);
-  if (it != borrowings_.end()) {
-    Close(&it->second);
-  }
-  Pursuit pursuit = question.pursuit;
-  question.pursuit.requests.clear();
-  Pursue(now, std::move(pursuit));
-  PursueQueued(now, tenant);
+void LimitBorrower::Abandon(Timestamp now, uint64_t id) {
+  PendingRequest& request = pending_.at(id);
+  request.abandoned = true;
+  suspected_until_[request.address] = now + options_.suspicion;
+  due_.emplace(request.sent + kReplyTimeout, id);
+  const std::string tenant = request.search.tenant;
+  const auto it = tenants_.find(tenant);
+  if (it != tenants_.end()) {
+    CloseRequest(&it->second);
+  }
+  TokenSearch search = request.search;
+  request.search.requests.clear();
+  ContinueSearch(now, std::move(search));
+  SearchForQueued(now, tenant);
 }
 
 void LimitBorrower::OnGatewayLost(Timestamp now, const std::string& address) {
   suspected_until_[address] = now + options_.suspicion;
   std::vector<uint64_t> lost;
-  for (const auto& [id, question] : questions_) {
-    if (question.address == address && !question.given_up) {
+  for (const auto& [id, request] : pending_) {
+    if (request.address == address && !request.abandoned) {
       lost.push_back(id);
     }
   }
   for (const uint64_t id : lost) {
-    GiveUp(now, id);
+    Abandon(now, id);
   }
 }
 
-void LimitBorrower::GiveBack(const Batch& batch, const std::string& tenant) {
+void LimitBorrower::ReturnTokens(const Batch& batch, const std::string& tenant) {
   wire::LimitAsk ask;
   ask.id = (*next_id_)++;
   ask.tenant = tenant;
   ask.part = batch.part;
   ask.returned = batch.count;
-  ask.returned_of = batch.question;
+  ask.returned_of = batch.request;
   output_.questions.push_back({batch.address, std::move(ask)});
 }
 
@@ -351,13 +353,13 @@
   while (!expiring_.empty() && expiring_.begin()->first <= now) {
     const std::string tenant = expiring_.begin()->second;
     expiring_.erase(expiring_.begin());
-    const auto it = borrowings_.find(tenant);
-    if (it == borrowings_.end()) {
+    const auto it = tenants_.find(tenant);
+    if (it == tenants_.end()) {
       continue;
     }
     std::erase_if(it->second.batches, [&](const Batch& batch) {
       if (batch.count > 0 && batch.until <= now) {
-        GiveBack(batch, tenant);
+        ReturnTokens(batch, tenant);
       }
       return batch.count == 0 || batch.until <= now;
     });
@@ -369,14 +371,14 @@
   while (!due_.empty() && due_.begin()->first <= now) {
     const uint64_t id = due_.begin()->second;
     due_.erase(due_.begin());
-    const auto found = questions_.find(id);
-    if (found == questions_.end()) {
+    const auto found = pending_.find(id);
+    if (found == pending_.end()) {
       continue;
     }
-    if (!found->second.given_up) {
-      GiveUp(now, id);
-    } else if (now >= found->second.sent + kAnswersCount) {
-      questions_.erase(found);
+    if (!found->second.abandoned) {
+      Abandon(now, id);
+    } else if (now >= found->second.sent + kReplyTimeout) {
+      pending_.erase(found);
     }
   }
   std::erase_if(suspected_until_, [&](const auto& item) { return item.second <= now; });
--- a/src/limits/limit_borrower.h
+++ b/src/limits/limit_borrower.h
@@ -1,6 +1,6 @@
-// How one gateway gets the right to send requests of tenants: it asks those that keep their
-// accounts, keeps a few tokens ahead where a tenant sends much, and remembers where nothing was
-// left. No socket, clock or thread.
+// Borrows the tokens for a gateway's requests of limited tenants from the lenders of the tenants'
+// accounts. Prefetches tokens for busy tenants and remembers exhausted accounts. Uses no socket,
+// clock or thread.
 #pragma once
 
 #include <cstdint>
@@ -20,33 +20,34 @@
 namespace pumicedyke::limits {
 
 struct BorrowerOptions {
-  /// One that does not answer for so long is passed over.
-  Duration patience = Milliseconds(25);
-  /// One that did not answer is asked after the others for so long.
+  /// Time after which a lender that has not replied is skipped.
+  Duration lender_timeout = Milliseconds(25);
+  /// Time for which a lender that has not replied is tried only after the others.
   Duration suspicion = Seconds(1);
-  /// Keepers that one request tries, itself not counted.
-  size_t max_questions = 5;
-  /// Questions at a time about one tenant; other requests wait for the next one.
-  size_t max_open = 2;
-  /// Requests of one tenant that wait; those beyond are refused.
+  /// Maximum number of remote lenders that one request tries.
+  size_t max_lenders_tried = 5;
+  /// Maximum number of concurrent limit requests of one tenant; further requests are queued.
+  size_t max_open_requests = 2;
+  /// Maximum number of queued requests of one tenant; further ones are refused.
   size_t max_queued = 512;
-  uint32_t max_ahead = 64;
-  /// Demand is counted over about so long.
+  uint32_t max_prefetch = 64;
+  /// Time constant of the demand average.
   Duration demand_window = Seconds(1);
-  /// When to come back if nobody can say when.
-  Duration unknown_retry = Milliseconds(250);
-  /// What the reserve says holds for so long: the first keeper may be back.
-  Duration longest_without_keeper = Milliseconds(500);
+  /// Retry delay if no lender could give one.
+  Duration default_retry_after = Milliseconds(250);
+  /// Maximum time for which an exhausted reserve is remembered, since the primary lender may be
+  /// reachable again.
+  Duration max_reserve_hold = Milliseconds(500);
 };
 
-/// Lives on the event loop's thread.
+/// Used on the event loop's thread only.
 class LimitBorrower {
  public:
-  /// @param placement, keeper outlive this object; the keeper is that of the same gateway.
+  /// @param placement, lender must outlive this object; the lender belongs to the same gateway.
   LimitBorrower(BorrowerOptions options, std::string node, const KeeperPlacement* placement,
-                LimitKeeper* keeper, uint64_t* next_id);
+                LimitKeeper* lender, uint64_t* next_id);
 
-  /// The tenants there are, with the number of their accounts.
+  /// Sets the limited tenants with the number of their accounts.
   void SetTenants(const std::map<std::string, uint32_t>& parts);
   LimitAnswer Admit(Timestamp now, RequestId id, const std::string& tenant);
   void Withdraw(RequestId id);
@@ -54,97 +55,98 @@
   void OnGatewayLost(Timestamp now, const std::string& address);
   void Tick(Timestamp now);
   Timestamp NextWake(Timestamp now) const;
-  /// Moves decisions and questions to `output`.
+  /// Moves decisions and limit requests to `output`.
   void CollectInto(LimitOutput* output);
 
  private:
-  /// A keeper of a tenant's account: its first or its second.
+  /// A lender of one of a tenant's accounts.
   struct Candidate {
     uint32_t part = 0;
-    bool second = false;
+    bool reserve = false;
   };
-  /// By its node: whoever is second now may be first at the next look.
+  /// A lender that was tried, identified by its node because the roles may change meanwhile.
   struct Tried {
     uint32_t part = 0;
     std::string node;
     bool operator==(const Tried&) const = default;
   };
-  /// Requests that look for tokens together.
-  struct Pursuit {
+  /// A search for the tokens of some requests.
+  struct TokenSearch {
     std::string tenant;
     std::vector<RequestId> requests;
     std::vector<Tried> tried;
-    size_t questions = 0;
+    size_t requests_sent = 0;
     Duration retry_after{};
   };
-  struct Question {
-    Pursuit pursuit;
+  struct PendingRequest {
+    TokenSearch search;
     Candidate candidate;
     std::string address;
     Timestamp sent{};
-    /// No answer is waited for, but one that comes late may still bring tokens.
-    bool given_up = false;
+    /// The reply is no longer awaited, but a late one may still bring tokens.
+    bool abandoned = false;
   };
   struct Batch {
-    uint64_t question = 0;
+    uint64_t request = 0;
     uint32_t part = 0;
     std::string address;
     uint32_t count = 0;
     Timestamp until{};
   };
-  struct Borrowing {
+  struct TenantState {
     uint32_t parts = 1;
-    /// Where it looks first, so that all gateways together use the parts evenly.
+    /// First part to try; differs between gateways so that the parts are used evenly.
     uint32_t preferred = 0;
-    /// By part: nothing is left until then.
-    std::vector<Timestamp> spent_until;
+    /// By part: the time until which its account is exhausted.
+    std::vector<Timestamp> exhausted_until;
     std::deque<Batch> batches;
     std::deque<RequestId> queued;
-    size_t open = 0;
+    size_t open_requests = 0;
     double demand = 0;
     Timestamp demand_at{};
     uint64_t refusals = 0;
   };
 
-  /// Takes over how many accounts the tenant has.
-  void Cut(uint32_t parts, Borrowing* borrowing) const;
-  /// @return null: it has no limit.
-  Borrowing* BorrowingOf(const std::string& tenant);
-  void NoteDemand(Timestamp now, Borrowing* borrowing) const;
-  static bool UseBatch(Timestamp now, Borrowing* borrowing);
-  uint32_t Ahead(const Borrowing& borrowing, const AccountId& account) const;
+  /// Sets the number of the tenant's accounts.
+  void SetParts(uint32_t parts, TenantState* state) const;
+  /// Returns the state of the tenant; null if it has no limit.
+  TenantState* FindOrAddTenant(const std::string& tenant);
+  void RecordDemand(Timestamp now, TenantState* state) const;
+  static bool TakeFromBatch(Timestamp now, TenantState* state);
+  uint32_t PrefetchCount(const TenantState& state, const AccountId& account) const;
   const LimitGateway* GatewayOf(const std::string& tenant, Candidate candidate) const;
-  bool Suspected(Timestamp now, const LimitGateway& gateway) const;
-  /// Whom to try next; none is left: null.
-  std::optional<Candidate> Next(Timestamp now, const Pursuit& pursuit,
-                                const Borrowing& borrowing) const;
-  /// Looks on until a question has to be waited for or all requests are decided.
-  void Pursue(Timestamp now, Pursuit pursuit);
-  void Send(Timestamp now, Pursuit pursuit, Candidate candidate, const LimitGateway& gateway);
-  /// Takes what was lent for the requests that look for it. @return what is left over.
-  uint32_t Spend(uint32_t count, Pursuit* pursuit);
-  void NoteSpent(Timestamp now, Candidate candidate, Duration retry_after, Pursuit* pursuit);
-  void RefuseAll(Timestamp now, Pursuit* pursuit);
-  Duration RetryAfter(Timestamp now, Borrowing* borrowing, Duration hint) const;
-  /// Nobody waits for this answer any more: its requests look on.
-  void GiveUp(Timestamp now, uint64_t id);
-  void PursueQueued(Timestamp now, const std::string& tenant);
-  void GiveBack(const Batch& batch, const std::string& tenant);
+  bool IsSuspected(Timestamp now, const LimitGateway& gateway) const;
+  /// Returns the lender to try next, if any is left.
+  std::optional<Candidate> Next(Timestamp now, const TokenSearch& search,
+                                const TenantState& state) const;
+  /// Continues the search until a reply must be awaited or all requests are decided.
+  void ContinueSearch(Timestamp now, TokenSearch search);
+  void Send(Timestamp now, TokenSearch search, Candidate candidate, const LimitGateway& gateway);
+  /// Grants the search's requests with the lent tokens. @return the number of tokens left over.
+  uint32_t GrantRequests(uint32_t count, TokenSearch* search);
+  void RecordExhausted(Timestamp now, Candidate candidate, Duration retry_after,
+                       TokenSearch* search);
+  void RefuseAll(Timestamp now, TokenSearch* search);
+  Duration RetryAfter(Timestamp now, TenantState* state, Duration hint) const;
+  /// Stops waiting for a reply and continues the search of its requests.
+  void Abandon(Timestamp now, uint64_t id);
+  void SearchForQueued(Timestamp now, const std::string& tenant);
+  void ReturnTokens(const Batch& batch, const std::string& tenant);
   void ReturnExpired(Timestamp now);
 
   BorrowerOptions options_;
   std::string node_;
   const KeeperPlacement* placement_;
-  LimitKeeper* keeper_;
+  LimitKeeper* lender_;
   uint64_t* next_id_;
   std::map<std::string, uint32_t> parts_;
-  /// Of tenants that have sent requests here.
-  std::map<std::string, Borrowing> borrowings_;
-  std::map<uint64_t, Question> questions_;
+  /// The tenants that have sent requests to this gateway.
+  std::map<std::string, TenantState> tenants_;
+  std::map<uint64_t, PendingRequest> pending_;
   std::map<std::string, Timestamp> suspected_until_;
-  /// Questions by when to look at them again.
+  /// Limit requests by the time of their next check.
   std::multimap<Timestamp, uint64_t> due_;
-  /// Tenants by when a batch of theirs has to go back.
+  /// Tenants by the time when one of their batches expires and is returned.
   std::multimap<Timestamp, std::string> expiring_;
   LimitOutput output_;
 };
--- a/src/limits/limit_gateway.h
+++ b/src/limits/limit_gateway.h
@@ -1,4 +1,4 @@
-// A gateway that may keep accounts of tenants. Plain data.
+// A gateway that may lend from accounts of tenants. Plain data.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 struct LimitGateway {
   std::string node;
-  /// Where other gateways reach it.
+  /// Address for other gateways.
   std::string address;
   std::string zone;
   bool operator==(const LimitGateway&) const = default;
--- a/src/limits/limit_keeper.cc
+++ b/src/limits/limit_keeper.cc
@@ -7,29 +7,28 @@
 namespace pumicedyke::limits {
 namespace {
 
-/// What is lent may be used for this part of the time that a loan counts, so that it can be given
-/// back within the rest.
+/// Share of a loan's duration in which its tokens may be used; the rest is left for returning them.
 constexpr double kUsablePart = 0.75;
-/// Those that are turned away are told to come back so many times as often as tokens come, so that
-/// none is left for want of somebody who asks.
-constexpr double kAskersPerToken = 4;
-/// An account answers so many a second whatever its rate.
-constexpr double kLeastAskers = 40;
+/// Retries scheduled per new token; more than one, so that no token stays unused for lack of
+/// requests.
+constexpr double kRetriesPerToken = 4;
+/// Minimum rate of scheduled retries, in retries per second, regardless of the account's rate.
+constexpr double kMinRetriesPerSecond = 40;
 
 }  // namespace
 
-void LimitKeeper::Settle(Timestamp now, Account* account) {
+void LimitKeeper::StartRefilling(Timestamp now, Account* account) {
   Refill(&account->bucket, now);
   account->settled = true;
   ++changes_;
-  account->was_first = false;
-  const bool first = account->role == KeeperRole::kFirst;
-  account->bucket.rate = first ? account->terms.rate : account->terms.reserve_rate;
-  account->bucket.cap = first ? account->terms.cap : account->terms.reserve_cap;
+  account->was_primary = false;
+  const bool primary = account->role == KeeperRole::kFirst;
+  account->bucket.rate = primary ? account->terms.rate : account->terms.reserve_rate;
+  account->bucket.cap = primary ? account->terms.cap : account->terms.reserve_cap;
   account->bucket.level = std::min(account->bucket.level, account->bucket.cap);
 }
 
-void LimitKeeper::Unsettle(Timestamp now, Account* account) {
+void LimitKeeper::StopRefilling(Timestamp now, Account* account) {
   Refill(&account->bucket, now);
   changes_ += account->settled ? 1 : 0;
   account->settled = false;
@@ -47,10 +46,10 @@
       continue;
     }
     account.terms = changed;
-    account.last_slot = Timestamp{};
+    account.last_retry = Timestamp{};
     Refill(&account.bucket, now);
     if (account.settled) {
-      Settle(now, &account);
+      StartRefilling(now, &account);
     } else {
       account.bucket.cap = std::max(changed.cap, changed.reserve_cap);
       account.bucket.level = std::min(account.bucket.level, account.bucket.cap);
@@ -59,33 +58,33 @@
 }
 
 void LimitKeeper::SetRole(Timestamp now, const AccountId& account, KeeperRole role,
-                          std::vector<std::string> rivals) {
+                          std::vector<std::string> claim_targets) {
   const auto terms = terms_.find(account);
   const auto found = accounts_.find(account);
   if (terms == terms_.end() || (found == accounts_.end() && role == KeeperRole::kNone)) {
     return;
   }
-  Account& kept = found == accounts_.end() ? accounts_[account] : found->second;
+  Account& entry = found == accounts_.end() ? accounts_[account] : found->second;
   if (found == accounts_.end()) {
-    kept.terms = terms->second;
-    kept.bucket = {0, std::max(kept.terms.cap, kept.terms.reserve_cap), 0, now};
+    entry.terms = terms->second;
+    entry.bucket = {0, std::max(entry.terms.cap, entry.terms.reserve_cap), 0, now};
   }
-  kept.rivals = std::move(rivals);
-  if (kept.role == role) {
+  entry.claim_targets = std::move(claim_targets);
+  if (entry.role == role) {
     return;
   }
-  if (kept.settled && kept.role == KeeperRole::kFirst) {
-    kept.was_first = true;
-    kept.kept_until = now + options_.kept_for_claim;
+  if (entry.settled && entry.role == KeeperRole::kFirst) {
+    entry.was_primary = true;
+    entry.claimable_until = now + options_.claimable_time;
   }
-  kept.role = role;
+  entry.role = role;
   ++changes_;
-  if (MayResume(now, kept)) {
-    Settle(now, &kept);
+  if (MayResume(now, entry)) {
+    StartRefilling(now, &entry);
     return;
   }
-  Unsettle(now, &kept);
-  if (role == KeeperRole::kNone && !kept.was_first) {
+  StopRefilling(now, &entry);
+  if (role == KeeperRole::kNone && !entry.was_primary) {
     accounts_.erase(account);
   }
 }
@@ -94,21 +93,21 @@
   const bool lapsed = now - proven_at > options_.lease || proven_at - proven_at_ > options_.lease;
   proven_at_ = std::max(proven_at_, proven_at);
   if (!lapsed) {
-    SettleDue(now);
+    StartDueAccounts(now);
     return;
   }
   for (auto& [id, account] : accounts_) {
-    Unsettle(now, &account);
+    StopRefilling(now, &account);
     account.bucket.level = 0;
-    account.was_first = false;
+    account.was_primary = false;
     account.loans.clear();
   }
 }
 
-void LimitKeeper::SettleDue(Timestamp now) {
+void LimitKeeper::StartDueAccounts(Timestamp now) {
   for (auto it = accounts_.begin(); it != accounts_.end();) {
     Account& account = it->second;
-    if (account.was_first && now >= account.kept_until) {
+    if (account.was_primary && now >= account.claimable_until) {
       account.bucket.level = 0;
     }
     const bool due = !account.settled && now >= account.settles_at;
@@ -117,32 +116,33 @@
       continue;
     }
     if (due) {
-      Settle(account.settles_at, &account);
+      StartRefilling(account.settles_at, &account);
     }
     ++it;
   }
 }
 
-Duration LimitKeeper::NextSlot(Timestamp now, Account* account) const {
-  const Duration token = TimeToToken(account->bucket, options_.longest_retry);
-  const double askers = std::max(kLeastAskers, account->bucket.rate * kAskersPerToken);
-  const Duration apart(static_cast<int64_t>(1e6 / askers));
-  account->last_slot =
-      std::min(std::max(now + token, account->last_slot + apart), now + options_.longest_retry);
-  return account->last_slot - now;
+Duration LimitKeeper::NextRetry(Timestamp now, Account* account) const {
+  const Duration token = TimeToToken(account->bucket, options_.max_retry_after);
+  const double retries_per_second =
+      std::max(kMinRetriesPerSecond, account->bucket.rate * kRetriesPerToken);
+  const Duration interval(static_cast<int64_t>(1e6 / retries_per_second));
+  account->last_retry = std::min(std::max(now + token, account->last_retry + interval),
+                                 now + options_.max_retry_after);
+  return account->last_retry - now;
 }
 
-Lent LimitKeeper::Lend(Timestamp now, const AccountId& id, uint32_t wanted) {
+LendResult LimitKeeper::Lend(Timestamp now, const AccountId& id, uint32_t wanted) {
   const auto it = accounts_.find(id);
   if (it == accounts_.end() || !Proven(now)) {
     return {};
   }
   Account& account = it->second;
-  if (account.was_first && now >= account.kept_until) {
+  if (account.was_primary && now >= account.claimable_until) {
     account.bucket.level = 0;
   }
   Refill(&account.bucket, now);
-  Lent lent;
+  LendResult lent;
   lent.count = Take(&account.bucket, wanted);
   account.lent += lent.count;
   if (lent.count > 0) {
@@ -152,13 +152,14 @@
   }
   if (account.settled && lent.count < wanted) {
     ++account.exhausted;
-    lent.retry_after = NextSlot(now, &account);
+    lent.retry_after = NextRetry(now, &account);
   }
   return lent;
 }
 
-Lent LimitKeeper::LendTo(Timestamp now, const AccountId& id, uint32_t wanted, Borrower borrower) {
-  const Lent lent = Lend(now, id, wanted);
+LendResult LimitKeeper::LendTo(Timestamp now, const AccountId& id, uint32_t wanted,
+                               BorrowerId borrower) {
+  const LendResult lent = Lend(now, id, wanted);
   if (lent.count > 0) {
     std::deque<Loan>& loans = accounts_.at(id).loans;
     const Duration loan = accounts_.at(id).terms.loan;
@@ -170,7 +171,8 @@
   return lent;
 }
 
-void LimitKeeper::TakeBack(Timestamp now, const AccountId& id, uint32_t count, Borrower borrower) {
+void LimitKeeper::TakeBack(Timestamp now, const AccountId& id, uint32_t count,
+                           BorrowerId borrower) {
   const auto it = accounts_.find(id);
   if (it == accounts_.end()) {
     return;
@@ -189,25 +191,26 @@
   }
 }
 
-Lent LimitKeeper::OnClaim(Timestamp now, const AccountId& id) {
+LendResult LimitKeeper::OnClaim(Timestamp now, const AccountId& id) {
   const auto it = accounts_.find(id);
   if (it == accounts_.end() || !Proven(now)) {
     return {};
   }
   Account& account = it->second;
-  const bool filled = account.settled && account.role == KeeperRole::kFirst;
-  if (!filled && !account.was_first) {
+  const bool refilling = account.settled && account.role == KeeperRole::kFirst;
+  if (!refilling && !account.was_primary) {
     return {};
   }
-  if (filled) {
-    Unsettle(now, &account);
+  if (refilling) {
+    StopRefilling(now, &account);
     account.next_claim = now + options_.claim_back_after;
   }
-  const bool kept = filled || now < account.kept_until;
-  const uint32_t held = kept ? Take(&account.bucket, std::numeric_limits<uint32_t>::max()) : 0;
-  account.was_first = false;
+  const bool available = refilling || now < account.claimable_until;
+  const uint32_t available_tokens =
+      available ? Take(&account.bucket, std::numeric_limits<uint32_t>::max()) : 0;
+  account.was_primary = false;
   account.bucket.level = 0;
-  return {wire::LimitStage::kGranted, held, {}};
+  return {wire::LimitStage::kGranted, available_tokens, {}};
 }
 
 bool LimitKeeper::OnClaimAnswer(Timestamp now, const wire::LimitGrant& grant) {
@@ -218,11 +221,11 @@
   const Claim claim = found->second;
   claims_.erase(found);
   const auto it = accounts_.find(claim.account);
-  const bool counts = grant.stage == wire::LimitStage::kGranted &&
-                      now - claim.sent <= options_.claim_patience && it != accounts_.end() &&
-                      it->second.role == KeeperRole::kFirst && !it->second.settled && Proven(now);
-  if (counts) {
-    Settle(now, &it->second);
+  const bool accepted = grant.stage == wire::LimitStage::kGranted &&
+                        now - claim.sent <= options_.claim_timeout && it != accounts_.end() &&
+                        it->second.role == KeeperRole::kFirst && !it->second.settled && Proven(now);
+  if (accepted) {
+    StartRefilling(now, &it->second);
     TokenBucket& bucket = it->second.bucket;
     bucket.level = std::min(bucket.cap, bucket.level + grant.granted);
   }
@@ -231,22 +234,22 @@
 
 std::vector<AccountClaim> LimitKeeper::Tick(Timestamp now, uint64_t* next_id) {
   std::erase_if(claims_,
-                [&](const auto& item) { return now - item.second.sent > options_.claim_patience; });
+                [&](const auto& item) { return now - item.second.sent > options_.claim_timeout; });
   std::vector<AccountClaim> claims;
   for (auto& [id, account] : accounts_) {
-    const bool claims_it = account.role == KeeperRole::kFirst && !account.settled && Proven(now);
-    if (!claims_it || now < account.next_claim) {
+    const bool should_claim = account.role == KeeperRole::kFirst && !account.settled && Proven(now);
+    if (!should_claim || now < account.next_claim) {
       continue;
     }
     account.next_claim = now + options_.claim_interval;
-    for (const std::string& rival : account.rivals) {
+    for (const std::string& target : account.claim_targets) {
       wire::LimitAsk ask;
       ask.id = (*next_id)++;
       ask.tenant = id.tenant;
       ask.part = id.part;
       ask.claim = true;
       claims_[ask.id] = {id, now};
-      claims.push_back({rival, std::move(ask)});
+      claims.push_back({target, std::move(ask)});
     }
   }
   return claims;
@@ -267,7 +270,7 @@
   return Duration(static_cast<int64_t>(loan * kUsablePart));
 }
 
-bool LimitKeeper::Keeps(const AccountId& account) const {
+bool LimitKeeper::IsLender(const AccountId& account) const {
   const auto it = accounts_.find(account);
   return it != accounts_.end() && it->second.role != KeeperRole::kNone;
 }
--- a/src/limits/limit_keeper.h
+++ b/src/limits/limit_keeper.h
@@ -1,13 +1,13 @@
-// The accounts of tenants that one gateway keeps, or whose reserve it keeps. No socket, clock or
-// thread.
+// The accounts of tenants of which one gateway is the primary or the reserve lender. Uses no
+// socket, clock or thread.
 //
-// Why two that believe to keep the same account do no harm: the sum of what all accounts of a kind
-// hold never exceeds what one may hold, and at most one of them is filled at any time.
-// - An account begins empty, and is filled once nobody else fills it: the former keeper has said
-//   that it stopped and handed over what it held (a claim), or a settling time has passed, within
-//   which a former keeper has learned of the new one or has lost its proof.
-// - A keeper that cannot prove that its configuration is current lends nothing, and begins anew
-//   when it can again.
+// Two gateways may both consider themselves the lender of the same account. This is safe because
+// together they never hold more tokens than the account's cap, and at most one of them refills it:
+// - An account starts empty. A lender starts to refill it only when the previous lender has
+//   confirmed that it stopped and handed over its tokens (a claim), or after a settling time within
+//   which the previous lender has learned of the new one or has lost its proof.
+// - A lender that cannot prove that its configuration is current lends nothing, and starts over
+//   once it can again.
 #pragma once
 
 #include <cstdint>
@@ -23,47 +23,48 @@
 
 namespace pumicedyke::limits {
 
-struct KeeperOptions {
-  /// Counted from the proof, a keeper lends for so long. A gateway that control has dropped was
-  /// silent for 0.8 s longer than it may go between two greetings: with `settling` on top, it has
-  /// stopped before another one begins.
+struct LenderOptions {
+  /// A lender may lend for this long after the proof. The control machines drop a gateway only when
+  /// its silence exceeds the maximum time between two hellos by 0.8 s. With `settling` added, a
+  /// dropped gateway has stopped lending before another one starts.
   Duration lease = Milliseconds(3300);
-  /// An account is filled this long after it fell to this gateway, unless its former keeper hands
-  /// it over before. What two gateways know of the others differs for less.
+  /// Delay before a new lender refills an account, unless the previous lender hands it over
+  /// earlier. The views of two gateways differ for less than this.
   Duration settling = Milliseconds(2500);
-  /// What a keeper holds of an account that fell to another one is there for it to claim for so
-  /// long: it has to be gone when the new one begins by itself.
-  Duration kept_for_claim = Milliseconds(500);
+  /// Time for which a previous lender retains its tokens for a claim by the new one. They must have
+  /// expired before the new lender starts without a claim.
+  Duration claimable_time = Milliseconds(500);
   Duration claim_interval = Milliseconds(200);
-  /// Two that each believe to keep an account do not take it from each other more often.
+  /// Minimum time before a lender claims an account back, if two gateways both consider themselves
+  /// its lender.
   Duration claim_back_after = Seconds(1);
-  /// The answer to a claim counts for so long.
-  Duration claim_patience = Milliseconds(500);
-  /// Nobody is told to come back later than this.
-  Duration longest_retry = Seconds(5);
+  /// A reply to a claim is accepted within this time.
+  Duration claim_timeout = Milliseconds(500);
+  /// Upper limit of the retry delay that is sent to borrowers.
+  Duration max_retry_after = Seconds(5);
 };
 
 enum class KeeperRole {
   kNone,
-  /// Lends by the limit itself.
+  /// The primary lender: lends from the limit itself.
   kFirst,
-  /// Lends of the reserve.
+  /// The reserve lender: lends from the account's reserve.
   kSecond,
 };
 
-/// What an account lends to one question.
-struct Lent {
+/// Result of one limit request at an account.
+struct LendResult {
   wire::LimitStage stage = wire::LimitStage::kNotKeeper;
   uint32_t count = 0;
-  /// If it is less than was wanted.
+  /// Set if `count` is less than requested.
   Duration retry_after{};
 };
 
-/// Who asks, and by which question: what comes back is checked against it.
-struct Borrower {
+/// Identifies a borrower's limit request; returned tokens are checked against it.
+struct BorrowerId {
   uint64_t session = 0;
-  uint64_t question = 0;
-  bool operator==(const Borrower&) const = default;
+  uint64_t request = 0;
+  bool operator==(const BorrowerId&) const = default;
 };
 
 /// A claim to be sent.
@@ -72,7 +73,7 @@
   wire::LimitAsk ask;
 };
 
-/// Figures of one account, for operators.
+/// Statistics of one account, for operators.
 struct AccountFigures {
   AccountId account;
   KeeperRole role = KeeperRole::kNone;
@@ -82,46 +83,47 @@
   uint64_t exhausted = 0;
 };
 
-/// Lives on the event loop's thread.
+/// Used on the event loop's thread only.
 class LimitKeeper {
  public:
-  explicit LimitKeeper(KeeperOptions options) : options_(options) {}
+  explicit LimitKeeper(LenderOptions options) : options_(options) {}
 
-  /// The accounts there are. One that is not among them is gone.
+  /// Sets all accounts. An account that is not listed is removed.
   void SetTerms(Timestamp now, const std::map<AccountId, AccountTerms>& terms);
-  /// Who keeps an account, as this gateway sees it now.
-  /// @param rivals addresses of gateways that may have kept it.
+  /// Sets the role of this gateway for an account, according to its own view.
+  /// @param claim_targets addresses of gateways that may have been its lender.
   void SetRole(Timestamp now, const AccountId& account, KeeperRole role,
-               std::vector<std::string> rivals);
-  /// @param proven_at when the configuration was last proved current. To be called at least once a
-  /// second, so that a lapse is seen.
+               std::vector<std::string> claim_targets);
+  /// Records a proof. Must be called at least once a second so that a lapse is noticed.
+  /// @param proven_at time at which the configuration was last proven current.
   void OnProof(Timestamp now, Timestamp proven_at);
 
-  Lent Lend(Timestamp now, const AccountId& account, uint32_t wanted);
-  /// The same for another gateway, which may give back what it does not use.
-  Lent LendTo(Timestamp now, const AccountId& account, uint32_t wanted, Borrower borrower);
-  void TakeBack(Timestamp now, const AccountId& account, uint32_t count, Borrower borrower);
-  /// Another gateway keeps the account from now on.
-  /// @return what it gets; kNotKeeper: this one did not fill it, which says nothing of others.
-  Lent OnClaim(Timestamp now, const AccountId& account);
-  /// Word on a claim of this gateway. @return whether it was one.
+  LendResult Lend(Timestamp now, const AccountId& account, uint32_t wanted);
+  /// Lends to another gateway, which may return unused tokens.
+  LendResult LendTo(Timestamp now, const AccountId& account, uint32_t wanted, BorrowerId borrower);
+  void TakeBack(Timestamp now, const AccountId& account, uint32_t count, BorrowerId borrower);
+  /// Hands the account over to another gateway.
+  /// @return the tokens handed over; kNotKeeper if this gateway did not refill the account, which
+  /// does not exclude that another one does.
+  LendResult OnClaim(Timestamp now, const AccountId& account);
+  /// Handles a grant if it is the reply to a claim of this gateway. @return whether it was.
   bool OnClaimAnswer(Timestamp now, const wire::LimitGrant& grant);
 
-  /// @param next_id numbers questions. @return claims to send.
+  /// Returns the claims to send. @param next_id counter of message ids.
   std::vector<AccountClaim> Tick(Timestamp now, uint64_t* next_id);
   Timestamp NextWake(Timestamp now) const;
 
-  /// How long what is lent may be used.
+  /// Returns the time for which lent tokens may be used.
   Duration LifetimeOf(const AccountId& account) const;
-  /// Whether requests of this gateway need ask nobody else.
-  bool Keeps(const AccountId& account) const;
+  /// Whether this gateway is a lender of the account, so that its own requests need no remote one.
+  bool IsLender(const AccountId& account) const;
   std::vector<AccountFigures> Figures() const;
-  /// Counts changes of what is kept and of whether it has settled.
+  /// Rises with each change of a role or of `settled`.
   uint64_t changes() const { return changes_; }
 
  private:
   struct Loan {
-    Borrower borrower;
+    BorrowerId borrower;
     uint32_t count = 0;
     Timestamp at{};
   };
@@ -131,15 +133,16 @@
     KeeperRole role = KeeperRole::kNone;
     bool settled = false;
     Timestamp settles_at{};
-    /// Filled it as its keeper until it fell to another one, which may claim it.
-    bool was_first = false;
-    /// What it holds since then is gone after this.
-    Timestamp kept_until{};
-    std::vector<std::string> rivals;
+    /// This gateway refilled the account as its primary lender until the role moved to another one,
+    /// which may claim it.
+    bool was_primary = false;
+    /// The tokens held since then expire at this time.
+    Timestamp claimable_until{};
+    std::vector<std::string> claim_targets;
     Timestamp next_claim{};
     std::deque<Loan> loans;
-    /// When the last one that was turned away is to come back.
-    Timestamp last_slot{};
+    /// The latest retry time that was assigned.
+    Timestamp last_retry{};
     uint64_t lent = 0;
     uint64_t exhausted = 0;
   };
@@ -149,19 +152,20 @@
   };
 
   bool Proven(Timestamp now) const { return now - proven_at_ <= options_.lease; }
-  /// Fills it from now on by its role.
-  void Settle(Timestamp now, Account* account);
-  /// Nobody else has begun to fill it since it fell from this gateway.
+  /// Starts to refill the account according to its role.
+  void StartRefilling(Timestamp now, Account* account);
+  /// Whether no other gateway can have started to refill the account since this one lost it.
   static bool MayResume(Timestamp now, const Account& account) {
-    return account.was_first && account.role == KeeperRole::kFirst && now < account.kept_until;
+    return account.was_primary && account.role == KeeperRole::kFirst &&
+           now < account.claimable_until;
   }
-  /// Stops filling it.
-  void Unsettle(Timestamp now, Account* account);
-  /// When the next one that is turned away is to come back.
-  Duration NextSlot(Timestamp now, Account* account) const;
-  void SettleDue(Timestamp now);
+  /// Stops refilling the account.
+  void StopRefilling(Timestamp now, Account* account);
+  /// Assigns the retry time of the next refused request. @return the delay until then.
+  Duration NextRetry(Timestamp now, Account* account) const;
+  void StartDueAccounts(Timestamp now);
 
-  KeeperOptions options_;
+  LenderOptions options_;
   Timestamp proven_at_{};
   std::map<AccountId, AccountTerms> terms_;
   std::map<AccountId, Account> accounts_;
--- a/src/limits/limit_messages.h
+++ b/src/limits/limit_messages.h
@@ -1,4 +1,4 @@
-// What the limits of tenants answer and send. Plain data.
+// Results and outgoing messages of the tenant limits. Plain data.
 #pragma once
 
 #include <cstdint>
@@ -11,34 +11,34 @@
 namespace pumicedyke::limits {
 
 enum class LimitVerdict {
-  /// Paid for: it may begin.
+  /// A token was taken; the request may start.
   kGranted,
-  /// Its keeper is being asked: a LimitDecision with its id will come.
+  /// A lender was asked; a LimitDecision with the request's id follows.
   kWaiting,
-  /// Beyond the limit, or nobody can say that it is not.
+  /// The request exceeds the limit, or no lender could confirm that it does not.
   kRefused,
 };
 
 struct LimitAnswer {
   LimitVerdict verdict = LimitVerdict::kGranted;
-  /// If refused: when tokens will be there.
+  /// If refused: the time until tokens are available.
   Duration retry_after{};
 };
 
-/// The end of a wait.
+/// The decision on a waiting request.
 struct LimitDecision {
   RequestId id;
   bool granted = false;
   Duration retry_after{};
 };
 
-/// A question to the gateway that keeps an account.
+/// A limit request to the lender of an account.
 struct LimitQuestion {
   std::string address;
   wire::LimitAsk ask;
 };
 
-/// Word to a gateway that asked; `session` names its connection.
+/// A reply to a limit request; `session` identifies the requesting gateway's connection.
 struct LimitWord {
   uint64_t session = 0;
   wire::LimitGrant grant;
--- a/src/limits/limit_options.h
+++ b/src/limits/limit_options.h
@@ -1,14 +1,14 @@
-// What bounds the requests of a tenant over all gateways. Plain data.
+// The bound on a tenant's requests over all gateways. Plain data.
 #pragma once
 
 #include "common/types.h"
 
 namespace pumicedyke::limits {
 
-/// In each window, wherever it lies, no more of a tenant's requests may reach leafs, from all
-/// gateways together, than (rate x window + burst) x (1 + overage) + slack.
+/// In any window of this length at most (rate x window + burst) x (1 + overage) + slack requests of
+/// a tenant may reach leafs from all gateways together.
 struct LimitBound {
-  /// Zero: limits are not kept.
+  /// Zero disables limits.
   Duration window{};
   double overage = 0;
   double slack = 0;
--- a/src/limits/tenant_limits.cc
+++ b/src/limits/tenant_limits.cc
@@ -9,10 +9,10 @@
 TenantLimits::TenantLimits(LimitOptions options, std::string node, uint64_t incarnation)
     : options_(options),
       node_(std::move(node)),
-      // Questions of two lives of a gateway never share a number.
+      // Ids are unique across incarnations of a gateway.
       next_id_((incarnation << 32) + 1),
-      keeper_(options.keeper),
-      borrower_(options.borrower, node_, &placement_, &keeper_, &next_id_) {}
+      lender_(options.keeper),
+      borrower_(options.borrower, node_, &placement_, &lender_, &next_id_) {}
 
 void TenantLimits::SetTenants(Timestamp now, const std::vector<tenants::Tenant>& tenants) {
   if (off()) {
@@ -26,17 +26,17 @@
       continue;
     }
     const AccountTerms shared = TermsOf(options_.bound, tenant);
-    parts[tenant.name] = PartsOf(tenant);
+    parts[tenant.name] = PartCount(tenant);
     for (uint32_t part = 0; part < parts[tenant.name]; ++part) {
       accounts.push_back({tenant.name, part});
       terms[accounts.back()] = shared;
     }
   }
-  keeper_.SetTerms(now, terms);
+  lender_.SetTerms(now, terms);
   borrower_.SetTenants(parts);
   placement_.SetAccounts(accounts);
-  std::erase_if(kept_, [&](const auto& item) { return !terms.contains(item.first); });
-  SyncRoles(now);
+  std::erase_if(lender_accounts_, [&](const auto& item) { return !terms.contains(item.first); });
+  UpdateRoles(now);
 }
 
 void TenantLimits::SetGateways(Timestamp now, const std::vector<LimitGateway>& gateways) {
@@ -44,38 +44,38 @@
     return;
   }
   placement_.SetGateways(gateways);
-  SyncRoles(now);
+  UpdateRoles(now);
 }
 
-void TenantLimits::SyncRoles(Timestamp now) {
-  std::map<AccountId, std::string> kept;
-  for (const AccountId& account : placement_.KeptBy(node_)) {
-    const Keepers keepers = placement_.Find(account);
-    const bool first = keepers.first->node == node_;
-    std::vector<std::string> rivals;
-    if (first && keepers.second != nullptr) {
-      rivals.push_back(keepers.second->address);
+void TenantLimits::UpdateRoles(Timestamp now) {
+  std::map<AccountId, std::string> accounts;
+  for (const AccountId& account : placement_.AccountsLentBy(node_)) {
+    const Lenders lenders = placement_.Find(account);
+    const bool primary = lenders.first->node == node_;
+    std::vector<std::string> claim_targets;
+    if (primary && lenders.second != nullptr) {
+      claim_targets.push_back(lenders.second->address);
     }
-    // It may not know yet that it was dropped.
-    const auto before = kept_.find(account);
-    if (first && before != kept_.end() && !before->second.empty()) {
-      rivals.push_back(before->second);
+    // The previous primary lender may not know yet that it was dropped.
+    const auto before = lender_accounts_.find(account);
+    if (primary && before != lender_accounts_.end() && !before->second.empty()) {
+      claim_targets.push_back(before->second);
     }
-    kept[account] = first ? std::string() : keepers.first->address;
-    keeper_.SetRole(now, account, first ? KeeperRole::kFirst : KeeperRole::kSecond,
-                    std::move(rivals));
+    accounts[account] = primary ? std::string() : lenders.first->address;
+    lender_.SetRole(now, account, primary ? KeeperRole::kFirst : KeeperRole::kSecond,
+                    std::move(claim_targets));
   }
-  for (const auto& [account, first] : kept_) {
-    if (!kept.contains(account)) {
-      keeper_.SetRole(now, account, KeeperRole::kNone, {});
+  for (const auto& [account, primary] : lender_accounts_) {
+    if (!accounts.contains(account)) {
+      lender_.SetRole(now, account, KeeperRole::kNone, {});
     }
   }
-  kept_ = std::move(kept);
+  lender_accounts_ = std::move(accounts);
   SendClaims(now);
 }
 
 void TenantLimits::SendClaims(Timestamp now) {
-  for (AccountClaim& claim : keeper_.Tick(now, &next_id_)) {
+  for (AccountClaim& claim : lender_.Tick(now, &next_id_)) {
     output_.questions.push_back({std::move(claim.address), std::move(claim.ask)});
   }
 }
@@ -85,7 +85,7 @@
   if (off() || !tenant.limited()) {
     return {};
   }
-  keeper_.OnProof(now, proven_at);
+  lender_.OnProof(now, proven_at);
   return borrower_.Admit(now, id, tenant.name);
 }
 
@@ -96,29 +96,29 @@
   if (off()) {
     return;
   }
-  keeper_.OnProof(now, proven_at);
+  lender_.OnProof(now, proven_at);
   const AccountId account{ask.tenant, ask.part};
   if (ask.returned > 0) {
-    keeper_.TakeBack(now, account, ask.returned, {session, ask.returned_of});
+    lender_.TakeBack(now, account, ask.returned, {session, ask.returned_of});
   }
   if (!ask.claim && ask.wanted == 0) {
     return;
   }
-  const Lent lent = ask.claim ? keeper_.OnClaim(now, account)
-                              : keeper_.LendTo(now, account, ask.wanted, {session, ask.id});
+  const LendResult lent = ask.claim ? lender_.OnClaim(now, account)
+                                    : lender_.LendTo(now, account, ask.wanted, {session, ask.id});
   wire::LimitGrant grant;
   grant.id = ask.id;
   grant.tenant = ask.tenant;
   grant.stage = lent.stage;
   grant.granted = lent.count;
-  grant.lifetime = keeper_.LifetimeOf(account);
+  grant.lifetime = lender_.LifetimeOf(account);
   grant.retry_after = lent.retry_after;
   output_.words.push_back({session, std::move(grant)});
 }
 
 void TenantLimits::OnGrant(Timestamp now, const std::string& /*address*/,
                            const wire::LimitGrant& grant) {
-  if (off() || keeper_.OnClaimAnswer(now, grant)) {
+  if (off() || lender_.OnClaimAnswer(now, grant)) {
     return;
   }
   borrower_.OnGrant(now, grant);
@@ -132,7 +132,7 @@
   if (off()) {
     return;
   }
-  keeper_.OnProof(now, proven_at);
+  lender_.OnProof(now, proven_at);
   borrower_.Tick(now);
   SendClaims(now);
 }
@@ -141,7 +141,7 @@
   if (off()) {
     return now + Seconds(1);
   }
-  return std::min(keeper_.NextWake(now), borrower_.NextWake(now));
+  return std::min(lender_.NextWake(now), borrower_.NextWake(now));
 }
 
 LimitOutput TenantLimits::TakeOutput() {
--- a/src/limits/tenant_limits.h
+++ b/src/limits/tenant_limits.h
@@ -1,6 +1,6 @@
-// The limits of tenants over all gateways, from the point of view of one of them: as the one that
-// keeps the accounts of some tenants, and as one that borrows from others. No socket, clock or
-// thread: events in, output out. docs/design/tenant-limits.md.
+// One gateway's side of the tenant limits over all gateways: it lends from the accounts of some
+// tenants and borrows from other gateways. Uses no socket, clock or thread: it handles events and
+// returns output. See docs/design/tenant-limits.md.
 #pragma once
 
 #include <cstdint>
@@ -21,35 +21,35 @@
 
 struct LimitOptions {
   LimitBound bound;
-  KeeperOptions keeper;
+  LenderOptions keeper;
   BorrowerOptions borrower;
 };
 
-/// Lives on the event loop's thread.
+/// Used on the event loop's thread only.
 class TenantLimits {
  public:
-  /// @param node name of this gateway. @param incarnation of this life of it.
+  /// @param node name of this gateway. @param incarnation of this process.
   TenantLimits(LimitOptions options, std::string node, uint64_t incarnation);
   TenantLimits(const TenantLimits&) = delete;
   TenantLimits& operator=(const TenantLimits&) = delete;
 
-  /// The tenants of the newest document.
+  /// Sets the tenants of the newest document.
   void SetTenants(Timestamp now, const std::vector<tenants::Tenant>& tenants);
-  /// All gateways that serve, by word of control, this one among them if it does.
+  /// Sets all serving gateways according to control, including this one if it serves.
   void SetGateways(Timestamp now, const std::vector<LimitGateway>& gateways);
 
-  /// A request of a tenant wants to begin.
-  /// @param proven_at when this gateway's configuration was last proved current: one that is cut
-  /// off keeps no accounts.
+  /// Decides whether a tenant's request may start.
+  /// @param proven_at time at which this gateway's configuration was last proven current. A gateway
+  /// that is partitioned from control must not lend.
   LimitAnswer Admit(Timestamp now, RequestId id, const tenants::Tenant& tenant,
                     Timestamp proven_at);
-  /// A request that waits is not wanted any more.
+  /// Cancels a waiting request.
   void Withdraw(Timestamp now, RequestId id);
 
-  /// Another gateway asks.
+  /// Handles a limit request of another gateway.
   void OnAsk(Timestamp now, uint64_t session, const wire::LimitAsk& ask, Timestamp proven_at);
   void OnGrant(Timestamp now, const std::string& address, const wire::LimitGrant& grant);
-  /// The connection to a gateway broke.
+  /// Handles the loss of the connection to a gateway.
   void OnGatewayLost(Timestamp now, const std::string& address);
 
   /// @param proven_at as for Admit().
@@ -57,22 +57,23 @@
   Timestamp NextWake(Timestamp now) const;
   LimitOutput TakeOutput();
 
-  const LimitKeeper& keeper() const { return keeper_; }
+  const LimitKeeper& keeper() const { return lender_; }
 
  private:
   bool off() const { return options_.bound.window.count() == 0; }
-  /// Takes over who keeps what.
-  void SyncRoles(Timestamp now);
+  /// Updates the roles of this gateway from the placement.
+  void UpdateRoles(Timestamp now);
   void SendClaims(Timestamp now);
 
   LimitOptions options_;
   std::string node_;
   uint64_t next_id_;
   KeeperPlacement placement_;
-  LimitKeeper keeper_;
+  LimitKeeper lender_;
   LimitBorrower borrower_;
-  /// The accounts this gateway kept, first or second, and who kept them first.
-  std::map<AccountId, std::string> kept_;
+  /// The accounts of which this gateway is a lender, with the address of the primary lender; empty
+  /// if that is this gateway.
+  std::map<AccountId, std::string> lender_accounts_;
   LimitOutput output_;
 };
 
--- a/src/limits/token_bucket.h
+++ b/src/limits/token_bucket.h
@@ -9,16 +9,16 @@
 namespace pumicedyke::limits {
 
 struct TokenBucket {
-  /// Tokens that come in a second.
+  /// Tokens added per second.
   double rate = 0;
-  /// It holds no more.
+  /// Maximum level.
   double cap = 0;
   double level = 0;
-  /// When `level` was right.
+  /// Time at which `level` was computed.
   Timestamp at{};
 };
 
-/// Lets in what has come by `now`. A time before the last one changes nothing.
+/// Adds the tokens accrued until `now`. An earlier time than the last one changes nothing.
 inline void Refill(TokenBucket* bucket, Timestamp now) {
   if (now <= bucket->at) {
     return;
@@ -28,9 +28,9 @@
   bucket->at = now;
 }
 
-/// @param bucket refilled. @return whole tokens that were there, `wanted` at most; they are gone.
+/// Takes up to `wanted` whole tokens from a refilled bucket. @return the number taken.
 inline uint32_t Take(TokenBucket* bucket, uint32_t wanted) {
-  // A token that is nearly whole by rounding alone is whole.
+  // Compensates for rounding errors just below a whole token.
   constexpr double kRounding = 1e-9;
   const double whole = std::floor(std::max(0.0, bucket->level + kRounding));
   const auto taken = static_cast<uint32_t>(std::min(whole, static_cast<double>(wanted)));
@@ -38,15 +38,15 @@
   return taken;
 }
 
-/// @param bucket refilled. @param longest what is answered if no token comes.
-/// @return when one token will be there, counted from the last refill.
-inline Duration TimeToToken(const TokenBucket& bucket, Duration longest) {
+/// Returns the time from the last refill until one token is available.
+/// @param bucket refilled. @param limit upper limit of the result.
+inline Duration TimeToToken(const TokenBucket& bucket, Duration limit) {
   const double missing = 1 - bucket.level;
   if (missing <= 0) {
     return Duration(0);
   }
   const double seconds = bucket.rate > 0 ? missing / bucket.rate : 1e9;
-  const double bound = std::chrono::duration<double>(longest).count();
+  const double bound = std::chrono::duration<double>(limit).count();
   return Duration(static_cast<int64_t>(std::ceil(std::min(seconds, bound) * 1e6)));
 }
 
--- a/src/tenants/key_lease.h
+++ b/src/tenants/key_lease.h
@@ -1,6 +1,6 @@
-// How long a gateway may go by the keys it knows: an API key that was taken away must be dead
-// everywhere within a bound, also where the news did not come. Free functions over plain data; safe
-// on any thread.
+// The lease under which a gateway may serve the API keys in its configuration. A revoked key must
+// be refused everywhere within a bound, also by gateways that did not receive the change. Free
+// functions over plain data; safe on any thread.
 #pragma once
 
 #include "common/types.h"
@@ -8,34 +8,37 @@
 namespace pumicedyke::tenants {
 
 struct KeyLeaseOptions {
-  /// A key is dead this long after the acknowledgement of its removal, whoever is cut off, frozen
-  /// or late; zero: keys are served by what is known, however old it is.
+  /// Every gateway refuses a key within this time after its removal was acknowledged, even if it is
+  /// partitioned, paused or slow. Zero: keys are served from the configuration regardless of its
+  /// age.
   Duration revocation_bound{};
-  /// Part of the bound that a gateway goes by a proof, counted from when it asked for it. What is
-  /// left is for the control machine that gave the proof, which may not have heard of the removal.
-  double lease_part = 0.8;
-  /// Part of the bound that a control machine may stay silent before another one is asked: two of
-  /// them in turn, on top of a proof that was as old as it gets in service, leave the lease whole.
-  double silence_part = 0.125;
-  /// When to come back, at first, if there is no proof: a greeting is answered within this.
-  Duration shortest_retry = Milliseconds(250);
-  Duration longest_retry = Seconds(2);
+  /// Share of the bound for which a gateway may rely on a proof, counted from the time it requested
+  /// it. The rest covers the control machine that gave the proof, which may not have received the
+  /// removal yet.
+  double lease_share = 0.8;
+  /// Share of the bound for which a control machine may stay silent before the gateway switches to
+  /// another one. Two silent ones in sequence must not exhaust the lease, even with the oldest
+  /// proof that occurs in normal operation.
+  double silence_share = 0.125;
+  /// Initial retry delay if there is no proof; a hello is normally answered within this.
+  Duration min_retry_after = Milliseconds(250);
+  Duration max_retry_after = Seconds(2);
 };
 
-/// How long a proof holds; zero: for ever.
+/// Returns the time for which a proof is valid; zero means forever.
 Duration LeaseLength(const KeyLeaseOptions& options);
 
-/// Whether keys may be served now.
-/// @param proven_at when the question was sent whose answer proved, by word of a quorum, that no
-/// acknowledged change was missing.
+/// Returns true if keys may be served now.
+/// @param proven_at time at which the gateway sent the request whose reply proved, confirmed by a
+/// quorum, that no acknowledged change was missing.
 bool KeysProven(const KeyLeaseOptions& options, Timestamp now, Timestamp proven_at);
 
-/// When to come back if keys may not be served now: what has lasted for some time is likely to last
-/// about as long again.
+/// Returns the retry delay if keys may not be served now. It grows with the time without a proof,
+/// because an outage is likely to last about as long again.
 Duration RetryWhenUnproven(const KeyLeaseOptions& options, Timestamp now, Timestamp proven_at);
 
-/// How long a control machine may stay silent before another one is asked.
-/// @param usual how long if keys need no proof.
+/// Returns how long a control machine may stay silent before the gateway switches to another one.
+/// @param usual the limit if keys need no proof.
 Duration SilenceLimit(const KeyLeaseOptions& options, Duration usual);
 
 }  // namespace pumicedyke::tenants
--- a/src/tenants/key_ring.cc
+++ b/src/tenants/key_ring.cc
@@ -16,7 +16,7 @@
   return it == by_key_.end() ? nullptr : it->second;
 }
 
-const Tenant* KeyRing::Named(const std::string& name) const {
+const Tenant* KeyRing::FindByName(const std::string& name) const {
   const auto it = by_name_.find(name);
   return it == by_name_.end() ? nullptr : it->second;
 }
--- a/src/tenants/key_ring.h
+++ b/src/tenants/key_ring.h
@@ -1,4 +1,4 @@
-// Which tenant an API key belongs to, compiled once per document.
+// Maps API keys to tenants. Built once per document.
 #pragma once
 
 #include <cstdint>
@@ -15,13 +15,13 @@
 class KeyRing {
  public:
   KeyRing() = default;
-  /// @param tenants valid; outlive this object.
+  /// @param tenants must be valid and outlive this object.
   explicit KeyRing(const std::vector<Tenant>& tenants);
 
-  /// @return the tenant whose key it is; null: nobody's.
+  /// Returns the tenant that owns the key, or null.
   const Tenant* Find(std::string_view key) const;
-  /// @return the tenant of that name; null: there is none.
-  const Tenant* Named(const std::string& name) const;
+  /// Returns the tenant with that name, or null.
+  const Tenant* FindByName(const std::string& name) const;
 
  private:
   std::unordered_map<std::string, const Tenant*> by_key_;
--- a/src/tenants/tenant.cc
+++ b/src/tenants/tenant.cc
@@ -10,7 +10,7 @@
 
 using KeyOwners = std::map<std::string_view, const Tenant*>;
 
-bool FitsHeader(std::string_view name) {
+bool IsValidInHeader(std::string_view name) {
   constexpr unsigned char kFirstPrintable = 0x20;
   constexpr unsigned char kDelete = 0x7f;
   return std::all_of(name.begin(), name.end(), [](char character) {
@@ -19,7 +19,7 @@
   });
 }
 
-std::optional<TenantProblem> ProblemOfKeys(const Tenant& tenant, KeyOwners* owners) {
+std::optional<TenantProblem> FindKeyProblem(const Tenant& tenant, KeyOwners* owners) {
   for (const std::string& key : tenant.api_keys) {
     if (key.empty()) {
       return TenantProblem{tenant.name, TenantField::kKeys, "a key is empty"};
@@ -27,13 +27,13 @@
     const Tenant* owner = owners->emplace(key, &tenant).first->second;
     if (owner != &tenant) {
       return TenantProblem{tenant.name, TenantField::kKeys,
-                           "tenant '" + owner->name + "' has one of the keys, too"};
+                           "one of the keys also belongs to tenant '" + owner->name + "'"};
     }
   }
   return std::nullopt;
 }
 
-std::optional<TenantProblem> ProblemOfFigures(const Tenant& tenant) {
+std::optional<TenantProblem> FindNumberProblem(const Tenant& tenant) {
   constexpr char kNegative[] = "must not be negative";
   if (!(tenant.requests_per_second >= 0)) {
     return TenantProblem{tenant.name, TenantField::kRequestsPerSecond, kNegative};
@@ -67,16 +67,16 @@
     if (tenant.name.empty()) {
       return TenantProblem{tenant.name, TenantField::kName, "must not be empty"};
     }
-    if (!FitsHeader(tenant.name)) {
-      return TenantProblem{tenant.name, TenantField::kName, "must hold no control characters"};
+    if (!IsValidInHeader(tenant.name)) {
+      return TenantProblem{tenant.name, TenantField::kName, "must not contain control characters"};
     }
     if (!names.insert(tenant.name).second) {
-      return TenantProblem{tenant.name, TenantField::kName, "another tenant has the same"};
+      return TenantProblem{tenant.name, TenantField::kName, "another tenant has the same name"};
     }
-    if (std::optional<TenantProblem> problem = ProblemOfKeys(tenant, &owners)) {
+    if (std::optional<TenantProblem> problem = FindKeyProblem(tenant, &owners)) {
       return problem;
     }
-    if (std::optional<TenantProblem> problem = ProblemOfFigures(tenant)) {
+    if (std::optional<TenantProblem> problem = FindNumberProblem(tenant)) {
       return problem;
     }
   }
@@ -85,7 +85,7 @@
 
 absl::Status InvalidTenant(const TenantProblem& problem, std::string_view field) {
   return MakeStatus(ResultCode::kInvalidConfig, "tenant '" + problem.tenant + "', field '" +
-                                                    std::string(field) + "': " + problem.why);
+                                                    std::string(field) + "': " + problem.reason);
 }
 
 absl::Status Validate(const std::vector<Tenant>& tenants) {
--- a/src/tenants/tenant.h
+++ b/src/tenants/tenant.h
@@ -13,15 +13,16 @@
 
 struct Tenant {
   std::string name;
-  /// Whoever sends one of these is the tenant. May be empty: nobody is.
+  /// Keys that identify the tenant's requests. May be empty.
   std::vector<std::string> api_keys;
-  /// Goes before the priority of the route, if it is set. Zero is the most urgent.
+  /// Overrides the priority of the route if set. Zero is the most urgent.
   std::optional<int> priority;
-  /// Requests a second over all gateways together; zero: no limit.
+  /// Requests per second over all gateways together; zero means no limit.
   double requests_per_second = 0;
-  /// Requests beyond that rate that may come at once.
+  /// Number of requests above that rate that are allowed in a burst.
   double burst = 0;
-  /// Regions that the tenant's requests must not leave, besides those of the route; empty: any.
+  /// Allowed regions of the tenant's requests, in addition to the restriction of the route; empty
+  /// means any.
   std::set<std::string> homes;
 
   bool limited() const { return requests_per_second > 0; }
@@ -30,26 +31,26 @@
 
 enum class TenantField { kName, kKeys, kRequestsPerSecond, kBurst };
 
-/// The field's name in the product's own configuration. A platform has names of its own.
+/// Returns the field's name in the product's own configuration. Platforms use other names.
 std::string_view FieldName(TenantField field);
 
-/// What is wrong with a tenant. Holds no key.
+/// A problem of a tenant. Never contains a key.
 struct TenantProblem {
   std::string tenant;
   TenantField field = TenantField::kName;
-  std::string why;
+  std::string reason;
 };
 
-/// Whether the tenants make sense together: names are there, stand once and can be sent as a header
-/// of HTTP; no key is empty or of two tenants; no figure is negative.
-/// @return the first problem; unset: there is none.
+/// Checks a list of tenants: names are present, unique and valid in an HTTP header; no key is empty
+/// or belongs to two tenants; no number is negative.
+/// @return the first problem, if any.
 std::optional<TenantProblem> FindProblem(const std::vector<Tenant>& tenants);
 
-/// As FindProblem().
+/// Checks a list of tenants as FindProblem() does.
 /// @return kInvalidConfig naming the tenant and the field, never a key.
 absl::Status Validate(const std::vector<Tenant>& tenants);
 
-/// The status that says so. @param field as the reader of the message knows it.
+/// Returns the status for a problem. @param field the field's name for the reader of the message.
 absl::Status InvalidTenant(const TenantProblem& problem, std::string_view field);
 
 }  // namespace pumicedyke::tenants
--- a/src/tenants/tenant_view.h
+++ b/src/tenants/tenant_view.h
@@ -1,4 +1,4 @@
-// What operators are shown of tenants: everything but their keys. Safe on any thread.
+// The operators' view of tenants, without their keys. Safe on any thread.
 #pragma once
 
 #include <vector>
@@ -8,7 +8,7 @@
 
 namespace pumicedyke::tenants {
 
-/// A list of tenants with their limits, priorities, regions and the number of their keys.
+/// Returns the tenants with their limits, priorities, regions and number of keys.
 Json Describe(const std::vector<Tenant>& tenants);
 
 }  // namespace pumicedyke::tenants
--- a/test/limits/accounts_test.cc
+++ b/test/limits/accounts_test.cc
@@ -1,4 +1,4 @@
-// Token buckets, the arithmetic of accounts, and who keeps them.
+// Tests token buckets, the terms of accounts, and their placement on gateways.
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
 
@@ -39,11 +39,11 @@
 class AccountsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AccountsTest);
   CPPUNIT_TEST(BucketFillsToItsCap);
-  CPPUNIT_TEST(BucketTellsWhenATokenComes);
+  CPPUNIT_TEST(TimeToTokenIsComputed);
   CPPUNIT_TEST(AccountsOfATenantStayWithinTheBound);
-  CPPUNIT_TEST(AccountsGiveWhatTheLimitGives);
-  CPPUNIT_TEST(PlacementFollowsEachChange);
-  CPPUNIT_TEST(GatewayThatLeavesMovesItsOwnAccountsAlone);
+  CPPUNIT_TEST(AccountsCoverTheLimit);
+  CPPUNIT_TEST(IncrementalPlacementEqualsANewOne);
+  CPPUNIT_TEST(RemovedGatewayMovesOnlyItsOwnAccounts);
   CPPUNIT_TEST(AccountsAreSpreadOverGateways);
   CPPUNIT_TEST_SUITE_END();
 
@@ -60,7 +60,7 @@
     CPPUNIT_ASSERT_EQUAL(0U, Take(&bucket, 1));
   }
 
-  void BucketTellsWhenATokenComes() {
+  void TimeToTokenIsComputed() {
     const TokenBucket bucket{0.5, 3, 0.5, kBegin};
     CPPUNIT_ASSERT_EQUAL(Duration(Seconds(1)).count(), TimeToToken(bucket, Seconds(9)).count());
     CPPUNIT_ASSERT(TimeToToken({0, 3, 0, kBegin}, Seconds(9)) == Seconds(9));
@@ -68,44 +68,46 @@
   }
 
   void AccountsOfATenantStayWithinTheBound() {
-    const bool held = rc::check("all accounts of a tenant together stay within the bound", [] {
-      LimitBound bound;
-      bound.window = Milliseconds(*rc::gen::inRange(500, 60000));
-      bound.overage = *rc::gen::inRange(0, 100) / 100.0;
-      bound.slack = *rc::gen::inRange(0, 100);
-      tenants::Tenant tenant;
-      tenant.requests_per_second = *rc::gen::inRange(1, 1000000) / 100.0;
-      tenant.burst = *rc::gen::inRange(0, 5000) / 10.0;
-      const double window = std::chrono::duration<double>(bound.window).count();
-      const double most =
-          (tenant.requests_per_second * window + tenant.burst) * (1 + bound.overage) + bound.slack;
-      const double parts = PartsOf(tenant);
-      // An account that is to lend at all holds one token.
-      RC_PRE(most >= parts);
-      const AccountTerms terms = TermsOf(bound, tenant);
-      RC_ASSERT(parts * MostInWindow(terms, bound.window) <= most * (1 + 1e-9));
-    });
-    CPPUNIT_ASSERT(held);
+    const bool property_holds =
+        rc::check("all accounts of a tenant together stay within the bound", [] {
+          LimitBound bound;
+          bound.window = Milliseconds(*rc::gen::inRange(500, 60000));
+          bound.overage = *rc::gen::inRange(0, 100) / 100.0;
+          bound.slack = *rc::gen::inRange(0, 100);
+          tenants::Tenant tenant;
+          tenant.requests_per_second = *rc::gen::inRange(1, 1000000) / 100.0;
+          tenant.burst = *rc::gen::inRange(0, 5000) / 10.0;
+          const double window = std::chrono::duration<double>(bound.window).count();
+          const double most =
+              (tenant.requests_per_second * window + tenant.burst) * (1 + bound.overage) +
+              bound.slack;
+          const double parts = PartCount(tenant);
+          // An account must hold at least one token to lend at all.
+          RC_PRE(most >= parts);
+          const AccountTerms terms = TermsOf(bound, tenant);
+          RC_ASSERT(parts * MaxRequestsInWindow(terms, bound.window) <= most * (1 + 1e-9));
+        });
+    CPPUNIT_ASSERT(property_holds);
   }
 
-  void AccountsGiveWhatTheLimitGives() {
-    const bool held = rc::check("accounts give the rate and the burst of the limit", [] {
+  void AccountsCoverTheLimit() {
+    const bool property_holds = rc::check("accounts give the rate and the burst of the limit", [] {
       const LimitBound bound{Seconds(5), 0.1, 20};
       tenants::Tenant tenant;
       tenant.requests_per_second = *rc::gen::inRange(1, 100000) / 100.0;
       tenant.burst = *rc::gen::inRange(0, 1000) / 10.0;
       const AccountTerms terms = TermsOf(bound, tenant);
-      const double parts = PartsOf(tenant);
+      const double parts = PartCount(tenant);
       RC_ASSERT(parts * terms.rate >= tenant.requests_per_second * (1 - 1e-9));
       RC_ASSERT(parts * terms.cap >= tenant.burst);
       RC_ASSERT(terms.cap >= 1);
       RC_ASSERT(terms.loan >= Milliseconds(50));
     });
-    CPPUNIT_ASSERT(held);
+    CPPUNIT_ASSERT(property_holds);
   }
 
-  void PlacementFollowsEachChange() {
-    const bool held = rc::check("a placement that was changed equals a new one", [] {
+  void IncrementalPlacementEqualsANewOne() {
+    const bool property_holds = rc::check("a placement that was changed equals a new one", [] {
       const std::vector<AccountId> accounts = Accounts(12);
       KeeperPlacement changed;
       changed.SetAccounts(Accounts(*rc::gen::inRange(0U, 12U)));
@@ -121,8 +123,8 @@
       fresh.SetGateways(GatewaysNamed(names));
       fresh.SetAccounts(accounts);
       for (const AccountId& account : accounts) {
-        const Keepers a = changed.Find(account);
-        const Keepers b = fresh.Find(account);
+        const Lenders a = changed.Find(account);
+        const Lenders b = fresh.Find(account);
         RC_ASSERT(NodeOf(a.first) == NodeOf(b.first));
         RC_ASSERT(NodeOf(a.second) == NodeOf(b.second));
         RC_ASSERT((a.first != nullptr) == !names.empty());
@@ -130,10 +132,10 @@
         RC_ASSERT(a.first == nullptr || a.first != a.second);
       }
     });
-    CPPUNIT_ASSERT(held);
+    CPPUNIT_ASSERT(property_holds);
   }
 
-  void GatewayThatLeavesMovesItsOwnAccountsAlone() {
+  void RemovedGatewayMovesOnlyItsOwnAccounts() {
     const std::vector<AccountId> accounts = Accounts(300);
     KeeperPlacement all;
     all.SetAccounts(accounts);
@@ -142,11 +144,11 @@
     fewer.SetAccounts(accounts);
     fewer.SetGateways(GatewaysNamed({0, 1, 2, 4, 5, 6, 7, 8, 9}));
     for (const AccountId& account : accounts) {
-      const Keepers before = all.Find(account);
+      const Lenders before = all.Find(account);
       const std::string after = NodeOf(fewer.Find(account).first);
-      const bool was_its = NodeOf(before.first) == "g3";
-      // Its accounts go to those that kept the reserve.
-      CPPUNIT_ASSERT_EQUAL(NodeOf(was_its ? before.second : before.first), after);
+      const bool was_removed_gateway = NodeOf(before.first) == "g3";
+      // Its accounts move to their reserve lenders.
+      CPPUNIT_ASSERT_EQUAL(NodeOf(was_removed_gateway ? before.second : before.first), after);
     }
   }
 
@@ -155,9 +157,9 @@
     placement.SetAccounts(Accounts(3000));
     placement.SetGateways(GatewaysNamed({0, 1, 2, 3, 4, 5, 6, 7, 8, 9}));
     for (int i = 0; i < 10; ++i) {
-      // First or second of 6000 places.
-      const size_t kept = placement.KeptBy("g" + std::to_string(i)).size();
-      CPPUNIT_ASSERT(kept > 500 && kept < 700);
+      // 3000 accounts with a primary and a reserve lender each, over 10 gateways.
+      const size_t account_count = placement.AccountsLentBy("g" + std::to_string(i)).size();
+      CPPUNIT_ASSERT(account_count > 500 && account_count < 700);
     }
   }
 };
--- a/test/limits/limit_borrower_test.cc
+++ b/test/limits/limit_borrower_test.cc
@@ -1,4 +1,4 @@
-// How a gateway asks for the right to send requests, and what it does with the answers.
+// Tests how a gateway borrows tokens and handles the replies.
 #include "limits/limit_borrower.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -11,22 +11,22 @@
 constexpr char kTenant[] = "t";
 const AccountId kAccount{kTenant, 0};
 
-/// A gateway that keeps no account of the tenant, and two that do.
-struct Borrowing {
-  Borrowing() {
+/// A borrower on a gateway that is no lender of the tenant's account, and the two lenders.
+struct BorrowerFixture {
+  BorrowerFixture() {
     placement.SetAccounts({kAccount});
     placement.SetGateways({{"a", "a:1", "z"}, {"b", "b:1", "z"}, {"c", "c:1", "z"}});
-    const Keepers keepers = placement.Find(kAccount);
-    first = keepers.first->address;
-    second = keepers.second->address;
+    const Lenders lenders = placement.Find(kAccount);
+    primary = lenders.first->address;
+    reserve = lenders.second->address;
     for (const std::string node : {"a", "b", "c"}) {
-      if (node != keepers.first->node && node != keepers.second->node) {
+      if (node != lenders.first->node && node != lenders.second->node) {
         self = node;
       }
     }
-    keeper.SetTerms(now, {{kAccount, {4, 8, 1, 4, Milliseconds(400)}}});
+    lender.SetTerms(now, {{kAccount, {4, 8, 1, 4, Milliseconds(400)}}});
     borrower =
-        std::make_unique<LimitBorrower>(BorrowerOptions{}, self, &placement, &keeper, &next_id);
+        std::make_unique<LimitBorrower>(BorrowerOptions{}, self, &placement, &lender, &next_id);
     borrower->SetTenants({{kTenant, 1}});
   }
   LimitVerdict Admit(uint64_t id) {
@@ -34,9 +34,9 @@
     borrower->CollectInto(&out);
     return verdict;
   }
-  void Answer(uint64_t question, wire::LimitStage stage, uint32_t granted,
+  void Answer(uint64_t request, wire::LimitStage stage, uint32_t granted,
               Duration retry_after = {}) {
-    borrower->OnGrant(now, {question, kTenant, stage, granted, Milliseconds(300), retry_after});
+    borrower->OnGrant(now, {request, kTenant, stage, granted, Milliseconds(300), retry_after});
     borrower->CollectInto(&out);
   }
   void Pass(Duration length) {
@@ -48,11 +48,11 @@
 
   Timestamp now{Seconds(50)};
   uint64_t next_id = 1;
-  std::string first;
-  std::string second;
+  std::string primary;
+  std::string reserve;
   std::string self;
   KeeperPlacement placement;
-  LimitKeeper keeper{{}};
+  LimitKeeper lender{{}};
   std::unique_ptr<LimitBorrower> borrower;
   LimitOutput out;
 };
@@ -61,32 +61,32 @@
 
 class LimitBorrowerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LimitBorrowerTest);
-  CPPUNIT_TEST(AsksTheKeeperAndWaits);
-  CPPUNIT_TEST(RequestsThatComeMeanwhileGoWithTheNextQuestion);
-  CPPUNIT_TEST(SilentKeeperIsPassedOverForAWhile);
-  CPPUNIT_TEST(LostKeeperIsPassedOverAtOnce);
-  CPPUNIT_TEST(NothingLeftIsRememberedUntilItsTime);
-  CPPUNIT_TEST(ReserveIsNotAskedWhenNothingIsLeft);
+  CPPUNIT_TEST(AsksThePrimaryLenderAndWaits);
+  CPPUNIT_TEST(RequestsArrivingMeanwhileShareTheNextLimitRequest);
+  CPPUNIT_TEST(SilentLenderIsSkippedTemporarily);
+  CPPUNIT_TEST(DisconnectedLenderIsSkippedAtOnce);
+  CPPUNIT_TEST(ExhaustedAccountIsRememberedUntilItsRetryTime);
+  CPPUNIT_TEST(ReserveIsNotAskedWhenTheAccountIsExhausted);
   CPPUNIT_TEST(LateGrantIsUsedByTheNextRequest);
-  CPPUNIT_TEST(GrantThatCameTooLateIsNotUsed);
-  CPPUNIT_TEST(MuchDemandIsAskedForAheadAndWhatIsLeftGoesBack);
-  CPPUNIT_TEST(RequestThatIsWithdrawnLeavesItsToken);
+  CPPUNIT_TEST(ExpiredGrantIsNotUsed);
+  CPPUNIT_TEST(HighDemandIsPrefetchedAndUnusedTokensAreReturned);
+  CPPUNIT_TEST(WithdrawnRequestLeavesItsToken);
   CPPUNIT_TEST(UnknownTenantIsRefused);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void AsksTheKeeperAndWaits() {
-    Borrowing b;
+  void AsksThePrimaryLenderAndWaits() {
+    BorrowerFixture b;
     CPPUNIT_ASSERT(b.Admit(1) == LimitVerdict::kWaiting);
-    CPPUNIT_ASSERT_EQUAL(b.first, b.Asked(0).address);
+    CPPUNIT_ASSERT_EQUAL(b.primary, b.Asked(0).address);
     CPPUNIT_ASSERT_EQUAL(1U, b.Asked(0).ask.wanted);
     b.Answer(b.Asked(0).ask.id, wire::LimitStage::kGranted, 1);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, b.out.decisions.size());
     CPPUNIT_ASSERT(b.out.decisions[0].granted);
   }
 
-  void RequestsThatComeMeanwhileGoWithTheNextQuestion() {
-    Borrowing b;
+  void RequestsArrivingMeanwhileShareTheNextLimitRequest() {
+    BorrowerFixture b;
     for (uint64_t id = 1; id <= 6; ++id) {
       CPPUNIT_ASSERT(b.Admit(id) == LimitVerdict::kWaiting);
     }
@@ -99,36 +99,36 @@
     CPPUNIT_ASSERT_EQUAL(size_t{6}, b.out.decisions.size());
   }
 
-  void SilentKeeperIsPassedOverForAWhile() {
-    Borrowing b;
+  void SilentLenderIsSkippedTemporarily() {
+    BorrowerFixture b;
     b.Admit(1);
     b.Pass(Milliseconds(26));
-    CPPUNIT_ASSERT_EQUAL(b.second, b.Asked(1).address);
+    CPPUNIT_ASSERT_EQUAL(b.reserve, b.Asked(1).address);
     b.Answer(b.Asked(1).ask.id, wire::LimitStage::kGranted, 1);
     CPPUNIT_ASSERT(b.out.decisions.at(0).granted);
     b.Admit(2);
-    CPPUNIT_ASSERT_EQUAL(b.second, b.Asked(2).address);
+    CPPUNIT_ASSERT_EQUAL(b.reserve, b.Asked(2).address);
     b.Answer(b.Asked(2).ask.id, wire::LimitStage::kGranted, 1);
     b.Pass(Seconds(1));
     b.Admit(3);
-    CPPUNIT_ASSERT_EQUAL(b.first, b.Asked(3).address);
+    CPPUNIT_ASSERT_EQUAL(b.primary, b.Asked(3).address);
   }
 
-  void LostKeeperIsPassedOverAtOnce() {
-    Borrowing b;
+  void DisconnectedLenderIsSkippedAtOnce() {
+    BorrowerFixture b;
     b.Admit(1);
-    b.borrower->OnGatewayLost(b.now, b.first);
+    b.borrower->OnGatewayLost(b.now, b.primary);
     b.borrower->CollectInto(&b.out);
-    CPPUNIT_ASSERT_EQUAL(b.second, b.Asked(1).address);
-    // Nobody can say: refused, with a time.
-    b.borrower->OnGatewayLost(b.now, b.second);
+    CPPUNIT_ASSERT_EQUAL(b.reserve, b.Asked(1).address);
+    // No lender is left: the request is refused with a retry delay.
+    b.borrower->OnGatewayLost(b.now, b.reserve);
     b.borrower->CollectInto(&b.out);
     CPPUNIT_ASSERT(!b.out.decisions.at(0).granted);
     CPPUNIT_ASSERT(b.out.decisions[0].retry_after > Duration(0));
   }
 
-  void NothingLeftIsRememberedUntilItsTime() {
-    Borrowing b;
+  void ExhaustedAccountIsRememberedUntilItsRetryTime() {
+    BorrowerFixture b;
     b.Admit(1);
     b.Answer(b.Asked(0).ask.id, wire::LimitStage::kExhausted, 0, Milliseconds(400));
     CPPUNIT_ASSERT(!b.out.decisions.at(0).granted);
@@ -142,20 +142,20 @@
     CPPUNIT_ASSERT_EQUAL(size_t{2}, b.out.questions.size());
   }
 
-  void ReserveIsNotAskedWhenNothingIsLeft() {
-    Borrowing b;
+  void ReserveIsNotAskedWhenTheAccountIsExhausted() {
+    BorrowerFixture b;
     b.Admit(1);
     b.Answer(b.Asked(0).ask.id, wire::LimitStage::kExhausted, 0, Milliseconds(400));
     CPPUNIT_ASSERT_EQUAL(size_t{1}, b.out.questions.size());
-    // One that does not keep it is another matter.
+    // In contrast, kNotKeeper makes the borrower try the reserve.
     b.Pass(Milliseconds(400));
     b.Admit(2);
     b.Answer(b.Asked(1).ask.id, wire::LimitStage::kNotKeeper, 0);
-    CPPUNIT_ASSERT_EQUAL(b.second, b.Asked(2).address);
+    CPPUNIT_ASSERT_EQUAL(b.reserve, b.Asked(2).address);
   }
 
   void LateGrantIsUsedByTheNextRequest() {
-    Borrowing b;
+    BorrowerFixture b;
     b.Admit(1);
     b.Pass(Milliseconds(26));
     b.Answer(b.Asked(1).ask.id, wire::LimitStage::kGranted, 1);
@@ -164,18 +164,18 @@
     CPPUNIT_ASSERT(b.Admit(2) == LimitVerdict::kGranted);
   }
 
-  void GrantThatCameTooLateIsNotUsed() {
-    Borrowing b;
+  void ExpiredGrantIsNotUsed() {
+    BorrowerFixture b;
     b.Admit(1);
-    // As after a suspension: the answer lay there.
+    // The process was suspended while the reply was waiting.
     b.now += Milliseconds(301);
     b.Answer(b.Asked(0).ask.id, wire::LimitStage::kGranted, 1);
     CPPUNIT_ASSERT(b.out.decisions.empty());
-    CPPUNIT_ASSERT_EQUAL(b.second, b.Asked(1).address);
+    CPPUNIT_ASSERT_EQUAL(b.reserve, b.Asked(1).address);
   }
 
-  void MuchDemandIsAskedForAheadAndWhatIsLeftGoesBack() {
-    Borrowing b;
+  void HighDemandIsPrefetchedAndUnusedTokensAreReturned() {
+    BorrowerFixture b;
     for (uint64_t id = 1; id <= 40; ++id) {
       b.Admit(id);
       const wire::LimitAsk ask = b.out.questions.back().ask;
@@ -186,20 +186,20 @@
     size_t asked = 0;
     uint32_t wanted = 0;
     uint32_t returned = 0;
-    for (const LimitQuestion& question : b.out.questions) {
-      const bool returns = question.ask.returned_of != 0;
-      CPPUNIT_ASSERT(!returns || question.ask.wanted == 0);
+    for (const LimitQuestion& request : b.out.questions) {
+      const bool returns = request.ask.returned_of != 0;
+      CPPUNIT_ASSERT(!returns || request.ask.wanted == 0);
       asked += returns ? 0 : 1;
-      wanted += question.ask.wanted;
-      returned += question.ask.returned;
+      wanted += request.ask.wanted;
+      returned += request.ask.returned;
     }
     CPPUNIT_ASSERT(asked < 20);
     CPPUNIT_ASSERT(returned > 0);
     CPPUNIT_ASSERT_EQUAL(wanted, 40 + returned);
   }
 
-  void RequestThatIsWithdrawnLeavesItsToken() {
-    Borrowing b;
+  void WithdrawnRequestLeavesItsToken() {
+    BorrowerFixture b;
     b.Admit(1);
     b.borrower->Withdraw(RequestId{1});
     b.Answer(b.Asked(0).ask.id, wire::LimitStage::kGranted, 1);
@@ -208,7 +208,7 @@
   }
 
   void UnknownTenantIsRefused() {
-    Borrowing b;
+    BorrowerFixture b;
     CPPUNIT_ASSERT(b.borrower->Admit(b.now, RequestId{1}, "other").verdict ==
                    LimitVerdict::kRefused);
   }
--- a/test/limits/limit_keeper_test.cc
+++ b/test/limits/limit_keeper_test.cc
@@ -1,4 +1,4 @@
-// One gateway's accounts: lending, what comes back, claims, and proofs that lapse.
+// Tests the accounts of one gateway: lending, returned tokens, claims and lapsed proofs.
 #include "limits/limit_keeper.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -9,188 +9,190 @@
 const AccountId kAccount{"t", 0};
 const AccountTerms kTerms{2, 4, 1, 3, Milliseconds(400)};
 
-/// A keeper whose configuration is always proved.
-struct Kept {
-  explicit Kept(KeeperRole role, std::vector<std::string> rivals = {}) {
-    keeper.OnProof(now, now);
-    keeper.SetTerms(now, {{kAccount, kTerms}});
-    keeper.SetRole(now, kAccount, role, std::move(rivals));
+/// A lender whose configuration is always proven current.
+struct LenderFixture {
+  explicit LenderFixture(KeeperRole role, std::vector<std::string> claim_targets = {}) {
+    lender.OnProof(now, now);
+    lender.SetTerms(now, {{kAccount, kTerms}});
+    lender.SetRole(now, kAccount, role, std::move(claim_targets));
   }
   void Pass(Duration length) {
     const Timestamp end = now + length;
     while (now < end) {
       now = std::min(end, now + Milliseconds(500));
-      keeper.OnProof(now, now);
+      lender.OnProof(now, now);
     }
   }
-  uint32_t Lend(uint32_t wanted) { return keeper.Lend(now, kAccount, wanted).count; }
+  uint32_t Lend(uint32_t wanted) { return lender.Lend(now, kAccount, wanted).count; }
 
   Timestamp now{Seconds(50)};
   uint64_t next_id = 1;
-  LimitKeeper keeper{{}};
+  LimitKeeper lender{{}};
 };
 
 }  // namespace
 
 class LimitKeeperTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LimitKeeperTest);
-  CPPUNIT_TEST(FillsAfterItHasSettled);
-  CPPUNIT_TEST(TellsWhenTokensWillBeThere);
-  CPPUNIT_TEST(ThoseTurnedAwayAreToldDifferentTimes);
-  CPPUNIT_TEST(WithoutProofItLendsNothingAndBeginsAnew);
-  CPPUNIT_TEST(WhatComesBackInTimeIsLentAgain);
+  CPPUNIT_TEST(RefillsAfterSettling);
+  CPPUNIT_TEST(ReturnsTheTimeOfTheNextToken);
+  CPPUNIT_TEST(RefusedRequestsGetDifferentRetryTimes);
+  CPPUNIT_TEST(LapsedProofStopsLendingAndStartsOver);
+  CPPUNIT_TEST(TokensReturnedInTimeAreLentAgain);
   CPPUNIT_TEST(ClaimMovesTheAccount);
-  CPPUNIT_TEST(ClaimOfOneThatDidNotFillItSaysNothing);
-  CPPUNIT_TEST(LateAnswerToAClaimDoesNotCount);
-  CPPUNIT_TEST(ReserveGoesOverToTheNewFirst);
-  CPPUNIT_TEST(LowerTermsCutWhatItHolds);
+  CPPUNIT_TEST(ClaimAtALenderThatDidNotRefillIsNotGranted);
+  CPPUNIT_TEST(LateClaimReplyIsIgnored);
+  CPPUNIT_TEST(ReserveMovesToTheNewPrimary);
+  CPPUNIT_TEST(LowerTermsReduceTheLevel);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void FillsAfterItHasSettled() {
-    Kept kept(KeeperRole::kFirst);
-    kept.Pass(Milliseconds(2400));
-    const Lent before = kept.keeper.Lend(kept.now, kAccount, 1);
+  void RefillsAfterSettling() {
+    LenderFixture fixture(KeeperRole::kFirst);
+    fixture.Pass(Milliseconds(2400));
+    const LendResult before = fixture.lender.Lend(fixture.now, kAccount, 1);
     CPPUNIT_ASSERT(before.stage == wire::LimitStage::kNotKeeper);
-    kept.Pass(Milliseconds(1100));
-    CPPUNIT_ASSERT_EQUAL(2U, kept.Lend(9));
-    kept.Pass(Seconds(60));
-    CPPUNIT_ASSERT_EQUAL(4U, kept.Lend(9));
-    CPPUNIT_ASSERT(kept.keeper.Lend(kept.now, {"other", 0}, 1).stage ==
+    fixture.Pass(Milliseconds(1100));
+    CPPUNIT_ASSERT_EQUAL(2U, fixture.Lend(9));
+    fixture.Pass(Seconds(60));
+    CPPUNIT_ASSERT_EQUAL(4U, fixture.Lend(9));
+    CPPUNIT_ASSERT(fixture.lender.Lend(fixture.now, {"other", 0}, 1).stage ==
                    wire::LimitStage::kNotKeeper);
   }
 
-  void TellsWhenTokensWillBeThere() {
-    Kept kept(KeeperRole::kFirst);
-    kept.Pass(Seconds(60));
-    const Lent some = kept.keeper.Lend(kept.now, kAccount, 9);
+  void ReturnsTheTimeOfTheNextToken() {
+    LenderFixture fixture(KeeperRole::kFirst);
+    fixture.Pass(Seconds(60));
+    const LendResult some = fixture.lender.Lend(fixture.now, kAccount, 9);
     CPPUNIT_ASSERT(some.stage == wire::LimitStage::kGranted);
     CPPUNIT_ASSERT_EQUAL(4U, some.count);
     CPPUNIT_ASSERT_EQUAL(Duration(Milliseconds(500)).count(), some.retry_after.count());
-    const Lent none = kept.keeper.Lend(kept.now, kAccount, 1);
+    const LendResult none = fixture.lender.Lend(fixture.now, kAccount, 1);
     CPPUNIT_ASSERT(none.stage == wire::LimitStage::kExhausted);
-    kept.Pass(Milliseconds(500));
-    CPPUNIT_ASSERT_EQUAL(1U, kept.Lend(1));
+    fixture.Pass(Milliseconds(500));
+    CPPUNIT_ASSERT_EQUAL(1U, fixture.Lend(1));
   }
 
-  void ThoseTurnedAwayAreToldDifferentTimes() {
-    Kept kept(KeeperRole::kFirst);
-    kept.Pass(Seconds(60));
-    Duration last = kept.keeper.Lend(kept.now, kAccount, 9).retry_after;
+  void RefusedRequestsGetDifferentRetryTimes() {
+    LenderFixture fixture(KeeperRole::kFirst);
+    fixture.Pass(Seconds(60));
+    Duration last = fixture.lender.Lend(fixture.now, kAccount, 9).retry_after;
     for (int i = 0; i < 50; ++i) {
-      const Duration next = kept.keeper.Lend(kept.now, kAccount, 1).retry_after;
+      const Duration next = fixture.lender.Lend(fixture.now, kAccount, 1).retry_after;
       CPPUNIT_ASSERT(next > last);
       last = next;
     }
-    // Not later than its bound, however many ask.
+    // The delay is bounded regardless of the number of requests.
     for (int i = 0; i < 1000; ++i) {
-      last = kept.keeper.Lend(kept.now, kAccount, 1).retry_after;
+      last = fixture.lender.Lend(fixture.now, kAccount, 1).retry_after;
     }
     CPPUNIT_ASSERT(last <= Seconds(5));
   }
 
-  void WithoutProofItLendsNothingAndBeginsAnew() {
-    Kept kept(KeeperRole::kFirst);
-    kept.Pass(Seconds(60));
-    const Timestamp proven = kept.now;
-    kept.now += Milliseconds(3200);
-    kept.keeper.OnProof(kept.now, proven);
-    CPPUNIT_ASSERT_EQUAL(1U, kept.Lend(1));
-    kept.now += Milliseconds(200);
-    kept.keeper.OnProof(kept.now, proven);
-    CPPUNIT_ASSERT(kept.keeper.Lend(kept.now, kAccount, 1).stage == wire::LimitStage::kNotKeeper);
-    // Proved again: somebody else may have kept it meanwhile.
-    kept.keeper.OnProof(kept.now, kept.now);
-    CPPUNIT_ASSERT_EQUAL(0U, kept.Lend(1));
-    kept.Pass(Milliseconds(3100));
-    CPPUNIT_ASSERT_EQUAL(1U, kept.Lend(1));
+  void LapsedProofStopsLendingAndStartsOver() {
+    LenderFixture fixture(KeeperRole::kFirst);
+    fixture.Pass(Seconds(60));
+    const Timestamp proven = fixture.now;
+    fixture.now += Milliseconds(3200);
+    fixture.lender.OnProof(fixture.now, proven);
+    CPPUNIT_ASSERT_EQUAL(1U, fixture.Lend(1));
+    fixture.now += Milliseconds(200);
+    fixture.lender.OnProof(fixture.now, proven);
+    CPPUNIT_ASSERT(fixture.lender.Lend(fixture.now, kAccount, 1).stage ==
+                   wire::LimitStage::kNotKeeper);
+    // Proven again, but another gateway may have been the lender in the meantime.
+    fixture.lender.OnProof(fixture.now, fixture.now);
+    CPPUNIT_ASSERT_EQUAL(0U, fixture.Lend(1));
+    fixture.Pass(Milliseconds(3100));
+    CPPUNIT_ASSERT_EQUAL(1U, fixture.Lend(1));
   }
 
-  void WhatComesBackInTimeIsLentAgain() {
-    Kept kept(KeeperRole::kFirst);
-    kept.Pass(Seconds(60));
-    const Borrower borrower{7, 1};
-    CPPUNIT_ASSERT_EQUAL(4U, kept.keeper.LendTo(kept.now, kAccount, 4, borrower).count);
-    // Of another question, or more than was lent.
-    kept.keeper.TakeBack(kept.now, kAccount, 4, {7, 2});
-    CPPUNIT_ASSERT_EQUAL(0U, kept.Lend(9));
-    kept.keeper.TakeBack(kept.now, kAccount, 3, borrower);
-    kept.keeper.TakeBack(kept.now, kAccount, 3, borrower);
-    CPPUNIT_ASSERT_EQUAL(4U, kept.Lend(9));
+  void TokensReturnedInTimeAreLentAgain() {
+    LenderFixture fixture(KeeperRole::kFirst);
+    fixture.Pass(Seconds(60));
+    const BorrowerId borrower{7, 1};
+    CPPUNIT_ASSERT_EQUAL(4U, fixture.lender.LendTo(fixture.now, kAccount, 4, borrower).count);
+    // Tokens of another limit request, or more than were lent, are not accepted.
+    fixture.lender.TakeBack(fixture.now, kAccount, 4, {7, 2});
+    CPPUNIT_ASSERT_EQUAL(0U, fixture.Lend(9));
+    fixture.lender.TakeBack(fixture.now, kAccount, 3, borrower);
+    fixture.lender.TakeBack(fixture.now, kAccount, 3, borrower);
+    CPPUNIT_ASSERT_EQUAL(4U, fixture.Lend(9));
     // Too late.
-    kept.Pass(Seconds(60));
-    kept.keeper.LendTo(kept.now, kAccount, 4, borrower);
-    kept.now += Milliseconds(401);
-    kept.keeper.TakeBack(kept.now, kAccount, 4, borrower);
-    CPPUNIT_ASSERT_EQUAL(0U, kept.Lend(9));
+    fixture.Pass(Seconds(60));
+    fixture.lender.LendTo(fixture.now, kAccount, 4, borrower);
+    fixture.now += Milliseconds(401);
+    fixture.lender.TakeBack(fixture.now, kAccount, 4, borrower);
+    CPPUNIT_ASSERT_EQUAL(0U, fixture.Lend(9));
   }
 
   void ClaimMovesTheAccount() {
-    Kept former(KeeperRole::kFirst);
-    former.Pass(Seconds(60));
-    Kept next(KeeperRole::kFirst, {"former"});
-    next.now = former.now;
-    next.keeper.OnProof(next.now, next.now);
-    const std::vector<AccountClaim> claims = next.keeper.Tick(next.now, &next.next_id);
+    LenderFixture previous(KeeperRole::kFirst);
+    previous.Pass(Seconds(60));
+    LenderFixture next(KeeperRole::kFirst, {"former"});
+    next.now = previous.now;
+    next.lender.OnProof(next.now, next.now);
+    const std::vector<AccountClaim> claims = next.lender.Tick(next.now, &next.next_id);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, claims.size());
     CPPUNIT_ASSERT_EQUAL(std::string("former"), claims.front().address);
-    const Lent answer = former.keeper.OnClaim(former.now, kAccount);
+    const LendResult answer = previous.lender.OnClaim(previous.now, kAccount);
     CPPUNIT_ASSERT_EQUAL(4U, answer.count);
-    CPPUNIT_ASSERT_EQUAL(0U, former.Lend(1));
-    CPPUNIT_ASSERT(former.keeper.OnClaim(former.now, kAccount).stage ==
+    CPPUNIT_ASSERT_EQUAL(0U, previous.Lend(1));
+    CPPUNIT_ASSERT(previous.lender.OnClaim(previous.now, kAccount).stage ==
                    wire::LimitStage::kNotKeeper);
-    CPPUNIT_ASSERT(next.keeper.OnClaimAnswer(
+    CPPUNIT_ASSERT(next.lender.OnClaimAnswer(
         next.now, {claims.front().ask.id, "t", answer.stage, answer.count, {}, {}}));
     CPPUNIT_ASSERT_EQUAL(4U, next.Lend(9));
-    // It is filled from now on, and the former one is not.
+    // Only the new lender refills from now on.
     next.Pass(Seconds(1));
-    former.Pass(Seconds(1));
+    previous.Pass(Seconds(1));
     CPPUNIT_ASSERT_EQUAL(2U, next.Lend(9));
-    CPPUNIT_ASSERT_EQUAL(0U, former.Lend(9));
+    CPPUNIT_ASSERT_EQUAL(0U, previous.Lend(9));
   }
 
-  void ClaimOfOneThatDidNotFillItSaysNothing() {
-    Kept second(KeeperRole::kSecond);
-    second.Pass(Seconds(60));
-    CPPUNIT_ASSERT(second.keeper.OnClaim(second.now, kAccount).stage ==
+  void ClaimAtALenderThatDidNotRefillIsNotGranted() {
+    LenderFixture reserve(KeeperRole::kSecond);
+    reserve.Pass(Seconds(60));
+    CPPUNIT_ASSERT(reserve.lender.OnClaim(reserve.now, kAccount).stage ==
                    wire::LimitStage::kNotKeeper);
     // The reserve stays.
-    CPPUNIT_ASSERT_EQUAL(3U, second.Lend(9));
+    CPPUNIT_ASSERT_EQUAL(3U, reserve.Lend(9));
   }
 
-  void LateAnswerToAClaimDoesNotCount() {
-    Kept next(KeeperRole::kFirst, {"former"});
-    const std::vector<AccountClaim> claims = next.keeper.Tick(next.now, &next.next_id);
+  void LateClaimReplyIsIgnored() {
+    LenderFixture next(KeeperRole::kFirst, {"former"});
+    const std::vector<AccountClaim> claims = next.lender.Tick(next.now, &next.next_id);
     next.Pass(Milliseconds(600));
-    next.keeper.OnClaimAnswer(next.now,
+    next.lender.OnClaimAnswer(next.now,
                               {claims.front().ask.id, "t", wire::LimitStage::kGranted, 4, {}, {}});
     CPPUNIT_ASSERT_EQUAL(0U, next.Lend(9));
   }
 
-  void ReserveGoesOverToTheNewFirst() {
-    Kept kept(KeeperRole::kSecond);
-    kept.Pass(Seconds(60));
-    kept.keeper.SetRole(kept.now, kAccount, KeeperRole::kFirst, {});
-    // Lent at once, and not filled before it has settled.
-    CPPUNIT_ASSERT_EQUAL(3U, kept.Lend(9));
-    kept.Pass(Seconds(2));
-    CPPUNIT_ASSERT_EQUAL(0U, kept.Lend(9));
-    kept.Pass(Seconds(1));
-    CPPUNIT_ASSERT_EQUAL(1U, kept.Lend(9));
+  void ReserveMovesToTheNewPrimary() {
+    LenderFixture fixture(KeeperRole::kSecond);
+    fixture.Pass(Seconds(60));
+    fixture.lender.SetRole(fixture.now, kAccount, KeeperRole::kFirst, {});
+    // The reserve is lent at once, but not refilled before the account has settled.
+    CPPUNIT_ASSERT_EQUAL(3U, fixture.Lend(9));
+    fixture.Pass(Seconds(2));
+    CPPUNIT_ASSERT_EQUAL(0U, fixture.Lend(9));
+    fixture.Pass(Seconds(1));
+    CPPUNIT_ASSERT_EQUAL(1U, fixture.Lend(9));
   }
 
-  void LowerTermsCutWhatItHolds() {
-    Kept kept(KeeperRole::kFirst);
-    kept.Pass(Seconds(60));
+  void LowerTermsReduceTheLevel() {
+    LenderFixture fixture(KeeperRole::kFirst);
+    fixture.Pass(Seconds(60));
     AccountTerms lower = kTerms;
     lower.rate = 0.5;
     lower.cap = 1;
-    kept.keeper.SetTerms(kept.now, {{kAccount, lower}});
-    CPPUNIT_ASSERT_EQUAL(1U, kept.Lend(9));
-    kept.Pass(Seconds(2));
-    CPPUNIT_ASSERT_EQUAL(1U, kept.Lend(9));
-    kept.keeper.SetTerms(kept.now, {});
-    CPPUNIT_ASSERT(kept.keeper.Lend(kept.now, kAccount, 1).stage == wire::LimitStage::kNotKeeper);
+    fixture.lender.SetTerms(fixture.now, {{kAccount, lower}});
+    CPPUNIT_ASSERT_EQUAL(1U, fixture.Lend(9));
+    fixture.Pass(Seconds(2));
+    CPPUNIT_ASSERT_EQUAL(1U, fixture.Lend(9));
+    fixture.lender.SetTerms(fixture.now, {});
+    CPPUNIT_ASSERT(fixture.lender.Lend(fixture.now, kAccount, 1).stage ==
+                   wire::LimitStage::kNotKeeper);
   }
 };
 
--- a/test/limits/tenant_limits_test.cc
+++ b/test/limits/tenant_limits_test.cc
@@ -1,5 +1,5 @@
-// The limits of tenants over a fleet of gateways, without network: what is granted stays within the
-// bound in every window whatever fails, and what is within the limit is granted.
+// Tests the tenant limits over a simulated fleet of gateways: under any fault the granted requests
+// stay within the bound in every window, and requests within the limit are granted.
 #include "limits/tenant_limits.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -13,8 +13,8 @@
 namespace pumicedyke::limits {
 namespace {
 
-/// The whole fleet has settled by then.
-constexpr Duration kWarm = Seconds(14);
+/// Time after which the whole fleet has settled.
+constexpr Duration kWarmup = Seconds(14);
 
 Demand DemandOf(const std::string& name, double limit, double burst, double per_second) {
   Demand demand;
@@ -26,8 +26,8 @@
   return demand;
 }
 
-/// Limits that fall like those of real customers: a few large ones, many small.
-std::vector<Demand> ManyTenants(size_t count, double total, double of_limit) {
+/// Limits distributed like those of real customers: a few large ones and many small ones.
+std::vector<Demand> ManyTenants(size_t count, double total, double load_factor) {
   double sum = 0;
   for (size_t i = 1; i <= count; ++i) {
     sum += std::pow(static_cast<double>(i), -1.2);
@@ -37,17 +37,17 @@
     const double usual = total * std::pow(static_cast<double>(i), -1.2) / sum;
     const double limit = usual * 1.6;
     demands.push_back(
-        DemandOf("t" + std::to_string(i), limit, std::max(2.0, limit), limit * of_limit));
+        DemandOf("t" + std::to_string(i), limit, std::max(2.0, limit), limit * load_factor));
   }
   return demands;
 }
 
-/// One random fault.
-void Disturb(SimulatedFleet* fleet, size_t fewest) {
+/// Injects one random fault.
+void InjectRandomFault(SimulatedFleet* fleet, size_t min_gateways) {
   const auto pick = [&](size_t most) {
     return std::uniform_int_distribution<size_t>(0, most - 1)(fleet->random());
   };
-  // Half of them hit a keeper: these are the ones that matter.
+  // Half of the faults hit a lender, where they matter most.
   const size_t gateway = fleet->Chance() < 0.5 ? fleet->KeeperOf(0) : pick(fleet->size());
   const Duration length = Milliseconds(static_cast<int64_t>(200 + fleet->Chance() * 7000));
   switch (pick(10)) {
@@ -76,7 +76,7 @@
       fleet->CutFromControl(gateway, length);
       break;
     case 8: {
-      // A control machine that has just started knows half of them.
+      // A control machine that has just started knows only half of the gateways.
       std::set<size_t> hidden;
       for (size_t i = 0; i < fleet->size(); ++i) {
         if (fleet->Chance() < 0.5) {
@@ -91,7 +91,7 @@
       break;
     }
     default:
-      if (fleet->size() < fewest + 10) {
+      if (fleet->size() < min_gateways + 10) {
         fleet->AddGateway();
       }
       break;
@@ -103,13 +103,13 @@
   }
 }
 
-/// @return the fullest window of any tenant over its bound.
-double FullestUnderFaults(uint64_t seed, const KeeperOptions& keeper) {
+/// Returns the maximum ratio of granted requests to the bound, over all windows and tenants.
+double PeakFullnessUnderFaults(uint64_t seed, const LenderOptions& lender) {
   std::mt19937_64 random(seed);
   FleetOptions options;
   options.gateways = std::uniform_int_distribution<size_t>(3, 40)(random);
   options.seed = seed;
-  options.limits.keeper = keeper;
+  options.limits.keeper = lender;
   options.message_loss = seed % 3 == 0 ? 0.05 : 0;
   SimulatedFleet fleet(options);
   std::vector<Demand> demands = {DemandOf("large", 30, 10, 240), DemandOf("tiny", 0.1, 1, 4),
@@ -118,20 +118,20 @@
   fleet.SetDemand(demands);
   fleet.Run(Seconds(8));
   for (int i = 0; i < 25; ++i) {
-    Disturb(&fleet, options.gateways);
+    InjectRandomFault(&fleet, options.gateways);
     fleet.Run(Milliseconds(static_cast<int64_t>(fleet.Chance() * 2500)));
   }
-  double fullest = 0;
+  double peak = 0;
   for (size_t i = 0; i < demands.size(); ++i) {
     const tenants::Tenant& tenant = demands[i].tenant;
-    fullest = std::max(fullest, fleet.Fullness(i, tenant.requests_per_second, tenant.burst,
-                                               Timestamp{}, Timestamp::max()));
+    peak = std::max(peak, fleet.Fullness(i, tenant.requests_per_second, tenant.burst, Timestamp{},
+                                         Timestamp::max()));
   }
-  return fullest;
+  return peak;
 }
 
-/// Refusals below the limit, of a thousand that were owed.
-double RefusedBelow(const SimulatedFleet& fleet, size_t tenants) {
+/// Refused requests per thousand, of tenants below their limits.
+double RefusedPerThousand(const SimulatedFleet& fleet, size_t tenants) {
   uint64_t refused = 0;
   uint64_t asked = 0;
   for (size_t i = 0; i < tenants; ++i) {
@@ -146,59 +146,61 @@
 class TenantLimitsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TenantLimitsTest);
   CPPUNIT_TEST(NoWindowHoldsMoreThanTheBoundUnderFaults);
-  CPPUNIT_TEST(KeeperThatIsCutOffStops);
-  CPPUNIT_TEST(TwoThatBelieveToKeepTheSameStayWithinTheBound);
+  CPPUNIT_TEST(PartitionedLenderStops);
+  CPPUNIT_TEST(TwoLendersOfOneAccountStayWithinTheBound);
   CPPUNIT_TEST(LowerLimitBindsWithinAWindow);
   CPPUNIT_TEST(WithinTheLimitNothingIsRefused);
   CPPUNIT_TEST(UnderOverloadTheLimitIsUsed);
-  CPPUNIT_TEST(OneHotTenantTakesNothingFromQuietOnes);
+  CPPUNIT_TEST(HotTenantDoesNotAffectQuietOnes);
   CPPUNIT_TEST(AllTenantsOverTheirLimits);
-  CPPUNIT_TEST(SmallTenantLosesNothingWithItsKeeper);
-  CPPUNIT_TEST(PlannedRestartsRefuseNothing);
+  CPPUNIT_TEST(SmallTenantIsUnaffectedByTheLossOfItsLender);
+  CPPUNIT_TEST(PlannedRestartsCauseNoRefusals);
   CPPUNIT_TEST(WithoutABoundEverythingIsGranted);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void NoWindowHoldsMoreThanTheBoundUnderFaults() {
     double worst = 0;
-    const bool held = rc::check("no window holds more than its bound", [&] {
+    const bool property_holds = rc::check("no window holds more than its bound", [&] {
       const uint64_t seed = *rc::gen::inRange<uint64_t>(1, 1000000);
-      const double fullest = FullestUnderFaults(seed, {});
-      worst = std::max(worst, fullest);
-      RC_LOG() << "seed " << seed << ": " << fullest << " of the bound";
-      RC_ASSERT(fullest <= 1);
+      const double peak = PeakFullnessUnderFaults(seed, {});
+      worst = std::max(worst, peak);
+      RC_LOG() << "seed " << seed << ": " << peak << " of the bound";
+      RC_ASSERT(peak <= 1);
     });
-    std::cout << "  the fullest window: " << worst << " of its bound\n";
-    CPPUNIT_ASSERT(held);
+    std::cout << "  fullest window: " << worst << " of its bound\n";
+    CPPUNIT_ASSERT(property_holds);
   }
 
-  /// A keeper that control has lost goes on for its own clients, while another takes over.
-  void KeeperThatIsCutOffStops() {
-    KeeperOptions without_lease;
+  /// A lender partitioned from control keeps lending to its own clients while another one takes
+  /// over, unless its lease expires.
+  void PartitionedLenderStops() {
+    LenderOptions without_lease;
     without_lease.lease = Seconds(1000000);
-    CPPUNIT_ASSERT(FullestWithCutKeeper({}) <= 1);
-    CPPUNIT_ASSERT(FullestWithCutKeeper(without_lease) > 1);
+    CPPUNIT_ASSERT(PeakFullnessWithPartitionedLender({}) <= 1);
+    CPPUNIT_ASSERT(PeakFullnessWithPartitionedLender(without_lease) > 1);
   }
 
-  /// Two gateways that do not know each other for a while both believe to keep every account.
-  void TwoThatBelieveToKeepTheSameStayWithinTheBound() {
-    KeeperOptions without_settling;
+  /// Two gateways that temporarily do not know each other both consider themselves the lender of
+  /// every account.
+  void TwoLendersOfOneAccountStayWithinTheBound() {
+    LenderOptions without_settling;
     without_settling.settling = Duration(0);
-    CPPUNIT_ASSERT(FullestWithTwoKeepers({}) <= 1);
-    CPPUNIT_ASSERT(FullestWithTwoKeepers(without_settling) > 1);
+    CPPUNIT_ASSERT(PeakFullnessWithTwoLenders({}) <= 1);
+    CPPUNIT_ASSERT(PeakFullnessWithTwoLenders(without_settling) > 1);
   }
 
   void LowerLimitBindsWithinAWindow() {
     SimulatedFleet fleet({.gateways = 20, .seed = 3});
     fleet.SetDemand({DemandOf("t", 40, 20, 200)});
-    fleet.Run(kWarm);
+    fleet.Run(kWarmup);
     fleet.SetLimit(0, 5, 2, Seconds(1));
     fleet.Run(Seconds(1));
     const Timestamp everywhere = fleet.now();
     fleet.Run(Seconds(20));
     CPPUNIT_ASSERT(fleet.Fullness(0, 40, 20, Timestamp{}, Timestamp::max()) <= 1);
     CPPUNIT_ASSERT(fleet.Fullness(0, 5, 2, everywhere, Timestamp::max()) <= 1);
-    // A higher one is there at once.
+    // A higher limit takes effect at once.
     fleet.SetLimit(0, 40, 20, Milliseconds(10));
     fleet.Run(Seconds(3));
     const uint64_t before = fleet.count(0).granted;
@@ -208,20 +210,20 @@
 
   void WithinTheLimitNothingIsRefused() {
     SimulatedFleet fleet({.gateways = 88, .seed = 4});
-    // As much as its limit over 1.6, as a Poisson process.
+    // A Poisson process at the limit divided by 1.6.
     fleet.SetDemand(ManyTenants(86, 48, 0));
-    fleet.Run(kWarm);
+    fleet.Run(kWarmup);
     fleet.SetDemand(ManyTenants(86, 48, 1 / 1.6));
     fleet.Run(Seconds(120));
-    std::cout << "  refused within the limit: " << RefusedBelow(fleet, 86) << " of 1000\n";
-    CPPUNIT_ASSERT(RefusedBelow(fleet, 86) <= 5);
+    std::cout << "  refused within the limit: " << RefusedPerThousand(fleet, 86) << " of 1000\n";
+    CPPUNIT_ASSERT(RefusedPerThousand(fleet, 86) <= 5);
   }
 
   void UnderOverloadTheLimitIsUsed() {
     SimulatedFleet fleet({.gateways = 88, .seed = 5});
     fleet.SetDemand({DemandOf("large", 24, 10, 192), DemandOf("middle", 3, 3, 24),
                      DemandOf("small", 0.5, 2, 4), DemandOf("at one", 6, 6, 48)});
-    fleet.Run(kWarm);
+    fleet.Run(kWarmup);
     const uint64_t messages = fleet.messages();
     std::vector<uint64_t> before;
     for (size_t i = 0; i < 4; ++i) {
@@ -235,15 +237,15 @@
       CPPUNIT_ASSERT(granted >= 0.9 * limits[i] * 60);
       CPPUNIT_ASSERT(fleet.Fullness(i, limits[i], 10, Timestamp{}, Timestamp::max()) <= 1);
     }
-    const double a_second = static_cast<double>(fleet.messages() - messages) / 60;
-    std::cout << "  messages a second: " << a_second << " for 268 requests\n";
-    CPPUNIT_ASSERT(a_second < 2 * 268 * 2);
+    const double per_second = static_cast<double>(fleet.messages() - messages) / 60;
+    std::cout << "  messages a second: " << per_second << " for 268 requests\n";
+    CPPUNIT_ASSERT(per_second < 2 * 268 * 2);
   }
 
-  void OneHotTenantTakesNothingFromQuietOnes() {
+  void HotTenantDoesNotAffectQuietOnes() {
     SimulatedFleet fleet({.gateways = 88, .seed = 6});
     fleet.SetDemand(ManyTenants(86, 48, 0));
-    fleet.Run(kWarm);
+    fleet.Run(kWarmup);
     std::vector<Demand> demands = ManyTenants(86, 48, 1 / 1.6);
     demands[2].per_second *= 8;
     fleet.SetDemand(demands);
@@ -258,9 +260,9 @@
       refused += i == 2 ? 0 : fleet.count(i).refused;
       asked += i == 2 ? 0 : fleet.count(i).asked;
     }
-    std::cout << "  of quiet ones refused: " << refused << " of " << asked << "\n";
+    std::cout << "  refused requests of quiet tenants: " << refused << " of " << asked << "\n";
     CPPUNIT_ASSERT(refused * 200 <= asked);
-    // Those that are refused come back at different times.
+    // Refused clients get different retry delays.
     const std::vector<Duration>& retries = fleet.count(2).retry_after;
     const std::set<Duration> distinct(retries.begin(), retries.end());
     CPPUNIT_ASSERT(distinct.size() * 2 > retries.size());
@@ -271,7 +273,7 @@
     SimulatedFleet fleet({.gateways = 30, .seed = 7});
     const std::vector<Demand> demands = ManyTenants(40, 20, 4);
     fleet.SetDemand(demands);
-    fleet.Run(kWarm + Seconds(40));
+    fleet.Run(kWarmup + Seconds(40));
     for (size_t i = 0; i < demands.size(); ++i) {
       const tenants::Tenant& tenant = demands[i].tenant;
       CPPUNIT_ASSERT(fleet.Fullness(i, tenant.requests_per_second, tenant.burst, Timestamp{},
@@ -281,13 +283,13 @@
     }
   }
 
-  void SmallTenantLosesNothingWithItsKeeper() {
+  void SmallTenantIsUnaffectedByTheLossOfItsLender() {
     for (const bool noticed : {true, false}) {
       SimulatedFleet fleet({.gateways = 88, .seed = 8});
       fleet.SetDemand({DemandOf("small", 0.8, 2, 0)});
-      fleet.Run(kWarm);
+      fleet.Run(kWarmup);
       fleet.Kill(fleet.KeeperOf(0), noticed);
-      // Half of its limit, evenly: the account begins anew several seconds later.
+      // Evenly spaced requests. The new lender refills the account only several seconds later.
       for (int i = 0; i < 8; ++i) {
         size_t gateway = 11 * static_cast<size_t>(i);
         gateway = gateway == fleet.KeeperOf(0) ? gateway + 1 : gateway;
@@ -299,10 +301,10 @@
     }
   }
 
-  void PlannedRestartsRefuseNothing() {
+  void PlannedRestartsCauseNoRefusals() {
     SimulatedFleet fleet({.gateways = 30, .seed = 9});
     fleet.SetDemand({DemandOf("large", 24, 12, 0), DemandOf("small", 0.8, 2, 0)});
-    fleet.Run(kWarm);
+    fleet.Run(kWarmup);
     fleet.SetDemand({DemandOf("large", 24, 12, 15), DemandOf("small", 0.8, 2, 0.4)});
     for (size_t i = 0; i < 30; ++i) {
       fleet.Drain(i);
@@ -331,22 +333,22 @@
   }
 
  private:
-  static double FullestWithCutKeeper(const KeeperOptions& keeper) {
+  static double PeakFullnessWithPartitionedLender(const LenderOptions& lender) {
     FleetOptions options{.gateways = 3, .seed = 21};
-    options.limits.keeper = keeper;
+    options.limits.keeper = lender;
     SimulatedFleet fleet(options);
     fleet.SetDemand({DemandOf("t", 100, 10, 800)});
-    fleet.Run(kWarm);
+    fleet.Run(kWarmup);
     fleet.Cut(0, true, true, Seconds(20));
     fleet.Run(Seconds(20));
     return fleet.Fullness(0, 100, 10, Timestamp{}, Timestamp::max());
   }
-  static double FullestWithTwoKeepers(const KeeperOptions& keeper) {
+  static double PeakFullnessWithTwoLenders(const LenderOptions& lender) {
     FleetOptions options{.gateways = 2, .seed = 22};
-    options.limits.keeper = keeper;
+    options.limits.keeper = lender;
     SimulatedFleet fleet(options);
     fleet.SetDemand({DemandOf("t", 100, 10, 800)});
-    fleet.Run(kWarm);
+    fleet.Run(kWarmup);
     for (int i = 0; i < 6; ++i) {
       fleet.Hide(0, {1}, Milliseconds(1700));
       fleet.Hide(1, {0}, Milliseconds(1700));
--- a/test/tenants/tenant_test.cc
+++ b/test/tenants/tenant_test.cc
@@ -1,4 +1,4 @@
-// Which lists of tenants make sense, and whose a key is.
+// Tests the validation of tenants and the lookup of keys.
 #include "tenants/tenant.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -27,28 +27,28 @@
 
 class TenantTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TenantTest);
-  CPPUNIT_TEST(TenantsThatMakeSensePass);
-  CPPUNIT_TEST(TenantsThatDoNotAreNamedWithTheirField);
+  CPPUNIT_TEST(ValidTenantsPass);
+  CPPUNIT_TEST(InvalidTenantsAreReportedWithTheirField);
   CPPUNIT_TEST(KeysFindTheirTenants);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void TenantsThatMakeSensePass() {
+  void ValidTenantsPass() {
     CPPUNIT_ASSERT(Validate({}).ok());
     std::vector<Tenant> tenants = TwoTenants();
     CPPUNIT_ASSERT(Validate(tenants).ok());
     tenants[0].api_keys = {};
     CPPUNIT_ASSERT(Validate(tenants).ok());
-    // One tenant that lists a key twice harms nobody.
+    // A tenant may list a key twice.
     tenants[0].api_keys = {"secret-1", "secret-1"};
     CPPUNIT_ASSERT(Validate(tenants).ok());
   }
 
-  void TenantsThatDoNotAreNamedWithTheirField() {
+  void InvalidTenantsAreReportedWithTheirField() {
     struct Case {
       const char* what;
       TenantField field;
-      std::function<void(Tenant*)> spoil;
+      std::function<void(Tenant*)> make_invalid;
     };
     const Case cases[] = {
         {"no name", TenantField::kName, [](Tenant* t) { t->name.clear(); }},
@@ -63,7 +63,7 @@
     };
     for (const Case& item : cases) {
       std::vector<Tenant> tenants = TwoTenants();
-      item.spoil(&tenants[1]);
+      item.make_invalid(&tenants[1]);
       const auto problem = FindProblem(tenants);
       CPPUNIT_ASSERT_MESSAGE(item.what, problem.has_value());
       CPPUNIT_ASSERT_MESSAGE(item.what, problem->field == item.field);
@@ -82,7 +82,7 @@
     CPPUNIT_ASSERT(ring.Find("secret-1") == &tenants[0]);
     CPPUNIT_ASSERT(ring.Find("secret-2") == &tenants[0]);
     CPPUNIT_ASSERT(ring.Find("secret-3") == &tenants[1]);
-    CPPUNIT_ASSERT(ring.Named("second") == &tenants[1]);
+    CPPUNIT_ASSERT(ring.FindByName("second") == &tenants[1]);
     for (const char* unknown : {"", "secret", "secret-11", "SECRET-1", "first"}) {
       CPPUNIT_ASSERT_MESSAGE(unknown, ring.Find(unknown) == nullptr);
     }
