--- a/src/balance/admission_throttle.cc
+++ b/src/balance/admission_throttle.cc
@@ -6,7 +6,7 @@
 namespace pumicedyke::balance {
 namespace {
 
-constexpr int kMiddlePriority = 5;
+constexpr int kMidPriority = 5;
 
 }  // namespace
 
@@ -17,7 +17,7 @@
     return;
   }
   updated_ = now;
-  // After a pause without queries the measurements say nothing; one interval's worth is enough.
+  // After a pause without queries the measurements are stale, so the elapsed time is limited.
   const double seconds = ToMilliseconds(std::min(elapsed, 4 * knobs_.throttle_interval)) / 1000.0;
   for (const config::Shard& shard : shards) {
     double& share = share_.try_emplace(shard.id, 1.0).first->second;
@@ -26,7 +26,7 @@
         std::clamp(share + knobs_.throttle_gain * error * seconds, knobs_.throttle_minimum, 1.0);
   }
   if (share_.size() > 2 * shards.size()) {
-    share_.clear();  // Snapshots with other shards have come and gone.
+    share_.clear();  // Most entries belong to shards of former snapshots.
   }
 }
 
@@ -41,8 +41,8 @@
     const auto it = share_.find(shard);
     share = std::min(share, it == share_.end() ? 1.0 : it->second);
   }
-  // Short capacity goes to higher priorities first.
-  const double exponent = std::exp2(static_cast<double>(kMiddlePriority - priority) / 2.0);
+  // Scarce capacity goes to higher priorities first.
+  const double exponent = std::exp2(static_cast<double>(kMidPriority - priority) / 2.0);
   return std::pow(share, exponent);
 }
 
--- a/src/balance/admission_throttle.h
+++ b/src/balance/admission_throttle.h
@@ -1,7 +1,7 @@
-// Decides which share of a service's queries a node admits, from how full the leafs of each shard
-// say they are: an integral controller per shard. Every query needs every shard, so that the
-// fullest shard decides; a query is refused whole, before any of its work is sent. Nodes that
-// cannot see each other arrive at the same share, because they hear the same leafs.
+// Computes the share of a service's queries that a node admits, with one integral controller per
+// shard over the reported load of its leafs. A query needs all of its shards, so the fullest shard
+// decides, and a query is refused before any of its work is sent. Nodes converge to the same share
+// without communication because they receive the reports of the same leafs.
 #pragma once
 
 #include <map>
@@ -18,11 +18,11 @@
  public:
   explicit AdmissionThrottle(const BalanceKnobs& knobs) : knobs_(knobs) {}
 
-  /// Moves the shares on; does nothing more often than every `throttle_interval`.
+  /// Updates the shares, at most once every `throttle_interval`.
   void Update(Timestamp now, const std::vector<config::Shard>& shards, const LeafPool& pool);
 
-  /// @param wanted the shards that a query asks for; empty: all.
-  /// @return the share of such queries to admit, 0 to 1.
+  /// Returns the share of queries to admit, 0 to 1.
+  /// @param wanted the shards that the query needs; empty means all.
   double AdmittedShare(const std::vector<ShardId>& wanted, int priority) const;
 
  private:
--- a/src/balance/connection_subset.cc
+++ b/src/balance/connection_subset.cc
@@ -8,7 +8,7 @@
 namespace pumicedyke::balance {
 namespace {
 
-/// Part of a leaf's connections that gateways may hold as a rule.
+/// Share of a leaf's connections that is divided among the gateways' preferred leafs.
 constexpr double kRegularShare = 0.75;
 
 struct Ranked {
--- a/src/balance/connection_subset.h
+++ b/src/balance/connection_subset.h
@@ -1,5 +1,5 @@
-// Deterministic subsetting: which leafs of a service one gateway works with as a rule, where leafs
-// take fewer connections than there are gateways. Free functions; no state, safe on any thread.
+// Deterministic subsetting: selects the preferred leafs of each gateway where leafs accept fewer
+// connections than there are gateways. Free functions without state; safe on any thread.
 #pragma once
 
 #include <cstddef>
@@ -15,20 +15,20 @@
   bool remote = false;
 };
 
-/// What a service's leafs and the gateways share.
+/// The connections to a service's leafs that the gateways share.
 struct ConnectionBound {
-  /// Connections that one leaf takes from all gateways together; zero: any number.
+  /// Connections that one leaf accepts from all gateways together; zero means no limit.
   size_t connections_per_leaf = 0;
-  /// Gateways that share them, 1 or more.
+  /// Number of gateways that share them, at least 1.
   size_t gateways = 1;
 };
 
-/// How many of `candidates` leafs each gateway prefers.
+/// Returns how many of `candidates` leafs each gateway prefers.
 size_t SubsetSize(size_t candidates, ConnectionBound bound);
 
-/// The leafs that `gateway` prefers: as many as leave a quarter of every leaf's connections free
-/// for hedges and retries of others, one at least; those of its own zone first. Each gateway ranks
-/// leafs by a hash of its own, so that the gateways spread over them.
+/// Returns the leafs that `gateway` prefers, at least one, those of its own zone first. Their
+/// number leaves a quarter of each leaf's connections free for hedges and retries of other
+/// gateways. Each gateway ranks the leafs by its own hash, which spreads the gateways over them.
 std::set<std::string> PreferredLeafs(const std::string& gateway,
                                      const std::vector<SubsetCandidate>& candidates,
                                      ConnectionBound bound);
--- a/src/balance/extra_load_budget.h
+++ b/src/balance/extra_load_budget.h
@@ -1,5 +1,5 @@
-// Budgets for hedges and retries together, so that extra load stays bounded when everything is slow
-// at once.
+// Combined budgets for hedges and retries. They bound the extra load when all leafs are slow at the
+// same time.
 #pragma once
 
 #include <algorithm>
@@ -10,23 +10,24 @@
 
 namespace pumicedyke::balance {
 
-/// Decides whether one more extra sub-request may be sent.
+/// Decides whether an extra sub-request may be sent.
 class ExtraLoadLimit {
  public:
   virtual ~ExtraLoadLimit() = default;
-  /// A regular sub-request was sent under a policy that allows `share` extra ones for it.
+  /// Records a regular sub-request sent under a policy that allows `share` extra ones for it.
   virtual void OnRegular(Timestamp now, double share) = 0;
-  /// @return whether one extra sub-request may be sent; it is then paid for.
+  /// Charges one extra sub-request to the budget. @return false if it must not be sent.
   bool TrySpend(Timestamp now) { return TrySpendPart(now, 1.0); }
-  /// The same for whoever may use no more than `part` of what may be spent, 0 to 1: the rest is
-  /// left to others.
+  /// The same for a caller that may use only the share `part` of the budget, 0 to 1; the rest is
+  /// reserved for other callers.
   virtual bool TrySpendPart(Timestamp now, double part) = 0;
-  /// @return the part that is left of what may be spent, 0 to 1.
+  /// Returns the share of the budget that is left, 0 to 1.
   virtual double PartLeft(Timestamp now) = 0;
 };
 
-/// A token bucket: a fixed share of the regular sub-requests. A sub-request that replaces one which
-/// a leaf refused unseen is no extra load on a slot and costs no token; rounds bound it.
+/// A token bucket that allows a fixed share of the regular sub-requests. Replacing a sub-request
+/// that a leaf refused without starting it adds no load to a slot and costs no token; the number of
+/// rounds bounds such replacements.
 class ExtraLoadBudget : public ExtraLoadLimit {
  public:
   explicit ExtraLoadBudget(double burst) : burst_(burst), tokens_(burst / 2) {}
@@ -52,15 +53,16 @@
   double tokens_;
 };
 
-/// Extra sub-requests of any time window: a share of the window's regular ones and a fixed number.
-/// The window slides in steps, and one step more than the window counts as spent: the bound holds
-/// wherever a window lies. The policy's own share is not used.
+/// Limits the extra sub-requests in any time window to a share of the window's regular ones plus a
+/// fixed number. The window slides in steps. Extra sub-requests are counted over one step more than
+/// the window, so that the bound holds for every position of the window. The policy's own share is
+/// not used.
 class SlidingWindowBudget : public ExtraLoadLimit {
  public:
-  /// @param window length of the window. @param ratio extra per regular sub-request.
+  /// @param window length of the window. @param ratio extra sub-requests per regular one.
   SlidingWindowBudget(Duration window, double ratio) : step_(window / kSteps), ratio_(ratio) {}
 
-  /// @param allowance extra ones beyond the share; may change at any time.
+  /// Sets the fixed number of extra sub-requests, which may change at any time.
   void SetAllowance(double allowance) { allowance_ = allowance; }
 
   void OnRegular(Timestamp now, double /*share*/) override { Current(now).regular += 1; }
@@ -89,13 +91,13 @@
 
   double Bound(const Step& sum) const { return ratio_ * sum.regular + allowance_; }
 
-  /// Of the window that ends now.
+  /// Returns the totals of the window that ends now.
   Step Sum(Timestamp now) {
     Current(now);
     Step sum;
     for (size_t i = 0; i < steps_.size(); ++i) {
       sum.extra += steps_[i].extra;
-      // The oldest step may lie outside the window already: it earns nothing.
+      // The oldest step may already be outside the window, so its regular ones are not counted.
       sum.regular += i == OldestStep() ? 0 : steps_[i].regular;
     }
     return sum;
--- a/src/balance/latency_tracker.h
+++ b/src/balance/latency_tracker.h
@@ -14,7 +14,7 @@
 
   void Record(Duration latency);
 
-  /// @param quantile 0 to 1. @return the initial value until enough samples are there.
+  /// Returns a quantile (0 to 1), or the initial value until there are enough samples.
   Duration Quantile(double quantile) const;
 
  private:
@@ -22,7 +22,8 @@
   Duration initial_;
   std::vector<Duration> samples_;
   size_t next_ = 0;
-  /// Sorted copy, made anew now and then: quantiles are asked far more often than they move.
+  /// Sorted copy, refreshed occasionally because quantiles are read far more often than they
+  /// change.
   mutable std::vector<Duration> sorted_;
   mutable size_t stale_ = 0;
 };
--- a/src/balance/leaf_pool.cc
+++ b/src/balance/leaf_pool.cc
@@ -66,16 +66,17 @@
   for (const auto& [leaf, limit] : limits) {
     const auto [it, inserted] = cold_.try_emplace(leaf);
     ColdState& cold = it->second;
-    cold.saved = inserted ? 0.0 : SavedBy(cold, now);
-    cold.counted = now;
+    cold.credit = inserted ? 0.0 : AvailableCredit(cold, now);
+    cold.updated_at = now;
     cold.limit = limit;
   }
 }
 
-double LeafPool::SavedBy(const ColdState& cold, Timestamp now) {
+double LeafPool::AvailableCredit(const ColdState& cold, Timestamp now) {
   constexpr double kMicrosecondsPerSecond = 1e6;
-  const double seconds = static_cast<double>((now - cold.counted).count()) / kMicrosecondsPerSecond;
-  return std::min(1.0, cold.saved + seconds * cold.limit.per_second);
+  const double seconds =
+      static_cast<double>((now - cold.updated_at).count()) / kMicrosecondsPerSecond;
+  return std::min(1.0, cold.credit + seconds * cold.limit.per_second);
 }
 
 bool LeafPool::IsCold(const std::string& leaf, Timestamp now) const {
@@ -83,12 +84,12 @@
   return it != cold_.end() && now < it->second.limit.until;
 }
 
-void LeafPool::NoteWord(LeafState* state, Timestamp now, bool draining) const {
+void LeafPool::RecordDrainingReport(LeafState* state, Timestamp now, bool draining) const {
   state->reported = true;
   if (draining) {
     state->draining = true;
-    state->said_draining = now;
-  } else if (now - state->said_draining >= knobs_.draining_hold) {
+    state->last_draining_report = now;
+  } else if (now - state->last_draining_report >= knobs_.draining_hold) {
     state->draining = false;
   }
 }
@@ -96,12 +97,12 @@
 void LeafPool::OnHealth(Timestamp now, const std::string& leaf, bool draining) {
   const auto it = leafs_.find(leaf);
   if (it != leafs_.end()) {
-    NoteWord(&it->second, now, draining);
+    RecordDrainingReport(&it->second, now, draining);
   }
 }
 
 double LeafPool::SlownessOf(const LeafState& state, Timestamp now) const {
-  // An average that nothing refreshed drifts back, so that a leaf that was slow gets tried again.
+  // Without new samples the average returns to 1, so that a slow leaf is tried again.
   const double weight = Decay(now - state.slowness_at, knobs_.slowness_half_life);
   return state.slowness * weight + 1.0 * (1 - weight);
 }
@@ -112,40 +113,41 @@
 
 double LeafPool::LoadOf(const LeafState& state, Timestamp now) const {
   const double reported = state.load * Decay(now - state.load_at, knobs_.load_half_life);
-  return std::max(reported, static_cast<double>(state.out.size()));
+  return std::max(reported, static_cast<double>(state.in_flight.size()));
 }
 
-Duration LeafPool::Patience(const LeafState& state, const InFlight& out, Timestamp now) const {
+Duration LeafPool::StallTimeout(const LeafState& state, const InFlight& in_flight,
+                                Timestamp now) const {
   const double usual = SlownessOf(state, now) * knobs_.stall_factor;
-  return std::max(knobs_.stall_minimum, Scale(out.expected, usual));
+  return std::max(knobs_.stall_minimum, Scale(in_flight.expected, usual));
 }
 
 bool LeafPool::Stalled(const LeafState& state, Timestamp now) const {
   if (now < state.suspect_until) {
     return true;
   }
-  if (state.out.empty()) {
+  if (state.in_flight.empty()) {
     return false;
   }
-  const InFlight& oldest = state.out.begin()->second;
-  return now - oldest.sent > Patience(state, oldest, now);
+  const InFlight& oldest = state.in_flight.begin()->second;
+  return now - oldest.sent > StallTimeout(state, oldest, now);
 }
 
 bool LeafPool::HasRoom(const LeafState& state, Timestamp now) const {
   if (now < state.ejected_until) {
     return false;
   }
-  // A leaf back from ejection is tried with one request first.
+  // After an ejection a leaf is first tried with a single request.
   const bool on_probation = state.failures >= knobs_.ejection_failures;
   if (on_probation) {
-    return state.out.empty();
+    return state.in_flight.empty();
   }
   if (state.limit >= 1.0) {
-    return static_cast<double>(state.out.size()) + 1.0 <= state.limit;
+    return static_cast<double>(state.in_flight.size()) + 1.0 <= state.limit;
   }
-  // Less than one request at a time: a pause between requests stands for the fraction.
+  // A limit below one is enforced by a pause between requests.
   const Duration pause = Scale(LatencyOf(state, now), 1.0 / state.limit - 1.0);
-  return state.out.empty() && now - state.last_sent >= pause;
+  return state.in_flight.empty() && now - state.last_sent >= pause;
 }
 
 double LeafPool::Score(const LeafState& state, Timestamp now) const {
@@ -168,19 +170,19 @@
   if (state.draining || state.leaving_in_config || state.leaving_on_platform) {
     return Availability::kLeaving;
   }
-  if (IsCold(leaf, now) && SavedBy(cold_.at(leaf), now) < 1.0) {
+  if (IsCold(leaf, now) && AvailableCredit(cold_.at(leaf), now) < 1.0) {
     return Availability::kLeaving;
   }
-  // A leaf that this node knows nothing of may have begun to leave long ago.
-  const bool waits_for_report =
+  // A leaf without a report may have started to leave long ago.
+  const bool awaits_report =
       !state.reported && now - state.configured_at < knobs_.first_report_patience;
-  return !waits_for_report && HasRoom(state, now) ? Availability::kReady : Availability::kBusy;
+  return !awaits_report && HasRoom(state, now) ? Availability::kReady : Availability::kBusy;
 }
 
 std::optional<std::string> LeafPool::Choose(Timestamp now, const std::vector<std::string>& replicas,
                                             const std::set<std::string>& excluded) {
-  // Drawn at random with weights: nodes that all took the best by the same late reports would
-  // flood it together.
+  // The choice is weighted random: if all nodes took the best leaf according to the same late
+  // reports, they would overload it together.
   const std::string* choice = nullptr;
   double total = 0;
   std::uniform_real_distribution<double> uniform(0, 1);
@@ -203,18 +205,19 @@
   if (it != leafs_.end()) {
     LeafState& state = it->second;
     state.expected = expected.count() > 0 ? expected : knobs_.initial_latency;
-    state.out[id] = {now, state.expected};
+    state.in_flight[id] = {now, state.expected};
     state.last_sent = now;
     if (IsCold(leaf, now)) {
       ColdState& cold = cold_.at(leaf);
-      cold.saved = std::max(0.0, SavedBy(cold, now) - 1.0);
-      cold.counted = now;
+      cold.credit = std::max(0.0, AvailableCredit(cold, now) - 1.0);
+      cold.updated_at = now;
     }
   }
 }
 
 void LeafPool::Decrease(LeafState* state, Timestamp now, double factor) {
-  // One decrease per interval: replies that left before the last one say nothing new.
+  // At most one decrease per interval: replies sent before the last decrease contain no new
+  // information.
   if (now - state->last_decrease < knobs_.decrease_interval) {
     return;
   }
@@ -222,7 +225,7 @@
   state->limit = std::max(knobs_.min_limit, state->limit * factor);
 }
 
-void LeafPool::NoteFailure(LeafState* state, Timestamp now) {
+void LeafPool::RecordFailure(LeafState* state, Timestamp now) {
   ++state->failures;
   if (state->failures < knobs_.ejection_failures) {
     return;
@@ -233,32 +236,32 @@
   state->ejected_until = now + state->ejection;
 }
 
-void LeafPool::NoteLoss(LeafState* state, Timestamp now, double used) {
+void LeafPool::RecordLoss(LeafState* state, Timestamp now, double ratio) {
   const double old = SlownessOf(*state, now);
-  if (knobs_.loss_growth <= 0 || used <= old) {
+  if (knobs_.loss_growth <= 0 || ratio <= old) {
     return;
   }
-  const double slowness = used * std::pow(knobs_.loss_growth, state->losses);
+  const double slowness = ratio * std::pow(knobs_.loss_growth, state->losses);
   ++state->losses;
-  state->slowness = std::clamp(slowness, old, knobs_.most_slowness);
+  state->slowness = std::clamp(slowness, old, knobs_.max_slowness);
   state->slowness_at = now;
 }
 
-void LeafPool::NoteShed(LeafState* state, Timestamp now, uint32_t load) {
+void LeafPool::RecordShed(LeafState* state, Timestamp now, uint32_t load) {
   const bool full = load > state->slots * knobs_.queue_tolerance;
-  NoteRefused(knobs_.refusals, now, full, &state->refusals);
-  // One that has room refuses for another cause: sending it less would not make it take more.
+  RecordRefusal(knobs_.refusals, now, full, &state->refusals);
+  // A leaf with free capacity refuses for another reason, and a lower limit would not help.
   if (state->refusals.crowded) {
     Decrease(state, now, knobs_.shed_decrease);
   }
 }
 
-void LeafPool::NoteSuccess(LeafState* state, Timestamp now, double slowness, uint32_t load) {
+void LeafPool::RecordSuccess(LeafState* state, Timestamp now, double slowness, uint32_t load) {
   if (state->failures >= knobs_.ejection_failures) {
-    // Back from ejection: start from one request at a time.
+    // After an ejection the limit starts from one request at a time.
     state->limit = 1.0;
   }
-  NoteTaken(knobs_.refusals, now, &state->refusals);
+  RecordAccepted(knobs_.refusals, now, &state->refusals);
   state->failures = 0;
   state->losses = 0;
   state->ejection = Duration(0);
@@ -270,9 +273,9 @@
     Decrease(state, now, knobs_.queue_decrease);
     return;
   }
-  // Grows only while it is what holds requests back.
-  const bool limiting = static_cast<double>(state->out.size()) + 2.0 > state->limit;
-  if (limiting) {
+  // The limit grows only while it is what constrains the requests.
+  const bool is_limiting = static_cast<double>(state->in_flight.size()) + 2.0 > state->limit;
+  if (is_limiting) {
     const double step = knobs_.increase / std::max(1.0, state->limit);
     state->limit =
         std::min(state->limit + step, std::max(1.0, state->slots * knobs_.max_limit_per_slot));
@@ -285,41 +288,43 @@
     return std::nullopt;
   }
   LeafState& state = leaf->second;
-  const bool spoke =
+  const bool responded =
       reply.status != query::LeafStatus::kFailed && reply.status != query::LeafStatus::kNotSent;
-  if (spoke) {
+  if (responded) {
     state.suspect_until = Timestamp{};
     state.suspicion = Duration(0);
-    NoteWord(&state, now, reply.draining || reply.status == query::LeafStatus::kDraining);
-    const double kept =
+    RecordDrainingReport(&state, now,
+                         reply.draining || reply.status == query::LeafStatus::kDraining);
+    const double retained_weight =
         std::exp(-ToMilliseconds(now - state.load_at) / ToMilliseconds(knobs_.fullness_time));
-    state.fullness = state.fullness * kept + (1 - kept) * reply.load / state.slots;
+    state.fullness =
+        state.fullness * retained_weight + (1 - retained_weight) * reply.load / state.slots;
     state.load = reply.load;
     state.load_at = now;
   }
-  const auto out = state.out.find(reply.id);
-  if (out == state.out.end()) {
+  const auto in_flight = state.in_flight.find(reply.id);
+  if (in_flight == state.in_flight.end()) {
     return std::nullopt;
   }
-  const Duration latency = now - out->second.sent;
-  const double slowness =
-      static_cast<double>(latency.count()) / static_cast<double>(out->second.expected.count());
-  state.out.erase(out);
+  const Duration latency = now - in_flight->second.sent;
+  const double slowness = static_cast<double>(latency.count()) /
+                          static_cast<double>(in_flight->second.expected.count());
+  state.in_flight.erase(in_flight);
   switch (reply.status) {
     case query::LeafStatus::kOk:
-      NoteSuccess(&state, now, slowness, reply.load);
+      RecordSuccess(&state, now, slowness, reply.load);
       break;
     case query::LeafStatus::kShed:
-      NoteShed(&state, now, reply.load);
+      RecordShed(&state, now, reply.load);
       break;
     case query::LeafStatus::kNotSent:
-      // Nothing listens there: what it said of leaving before it was gone may be out of date.
+      // Nothing listens at the address, so the leaf's last report on draining may be out of date.
       state.reported = false;
       state.configured_at = now;
-      NoteFailure(&state, now);
+      RecordFailure(&state, now);
       break;
     case query::LeafStatus::kFailed:
-      NoteFailure(&state, now);
+      RecordFailure(&state, now);
       break;
     default:
       break;
@@ -334,23 +339,23 @@
     return;
   }
   LeafState& state = it->second;
-  const auto out = state.out.find(id);
-  if (out == state.out.end()) {
+  const auto in_flight = state.in_flight.find(id);
+  if (in_flight == state.in_flight.end()) {
     return;
   }
-  // The evidence of a standstill must outlive the request that gave it.
-  if (now - out->second.sent > Patience(state, out->second, now)) {
+  // A detected stall must be remembered after the abandoned request is erased.
+  if (now - in_flight->second.sent > StallTimeout(state, in_flight->second, now)) {
     state.suspicion = state.suspicion == Duration(0)
                           ? knobs_.suspicion
                           : std::min(2 * state.suspicion, knobs_.max_ejection_time);
     state.suspect_until = now + state.suspicion;
   }
-  NoteLoss(&state, now,
-           static_cast<double>((now - out->second.sent).count()) /
-               static_cast<double>(out->second.expected.count()));
-  state.out.erase(out);
+  RecordLoss(&state, now,
+             static_cast<double>((now - in_flight->second.sent).count()) /
+                 static_cast<double>(in_flight->second.expected.count()));
+  state.in_flight.erase(in_flight);
   if (timed_out) {
-    NoteFailure(&state, now);
+    RecordFailure(&state, now);
   }
 }
 
@@ -373,7 +378,7 @@
     }
     const LeafState& state = it->second;
     const double latency = static_cast<double>(LatencyOf(state, now).count());
-    const double ahead = static_cast<double>(state.out.size()) + state.waiting + 1.0;
+    const double ahead = static_cast<double>(state.in_flight.size()) + state.waiting + 1.0;
     const double turns = std::max(0.0, ahead / state.limit - 1.0);
     const double ejected = std::max(0.0, static_cast<double>((state.ejected_until - now).count()));
     const double wait = turns * latency + ejected;
@@ -386,7 +391,7 @@
   double least = -1;
   for (const std::string& replica : replicas) {
     const auto it = leafs_.find(replica);
-    // A leaf that is gone or stands still says nothing; what it said before is no room.
+    // Leafs that are leaving, stalled or without a fresh report are not counted as free capacity.
     const bool usable = it != leafs_.end() &&
                         AvailabilityOf(replica, now) != Availability::kLeaving &&
                         !Stalled(it->second, now) && now - it->second.load_at < knobs_.fresh_report;
@@ -409,7 +414,7 @@
 
 uint32_t LeafPool::Outstanding(const std::string& leaf) const {
   const auto it = leafs_.find(leaf);
-  return it == leafs_.end() ? 0 : static_cast<uint32_t>(it->second.out.size());
+  return it == leafs_.end() ? 0 : static_cast<uint32_t>(it->second.in_flight.size());
 }
 
 double LeafPool::Limit(const std::string& leaf) const {
--- a/src/balance/leaf_pool.h
+++ b/src/balance/leaf_pool.h
@@ -1,5 +1,5 @@
-// What one node knows of the leafs it sends to: who is leaving, how loaded and how fast each is,
-// and how much this node may have out at each. Chooses replicas.
+// One node's view of the leafs that it sends to: which are leaving, their load and latency, and how
+// many requests this node may have outstanding at each. Chooses replicas.
 #pragma once
 
 #include <map>
@@ -19,24 +19,24 @@
 
 enum class Availability {
   kReady,
-  /// Would take work later: its limit is reached or it is ejected for a while.
+  /// Takes work later: its limit is reached or it is temporarily ejected.
   kBusy,
-  /// Takes no new work: it leaves, or is cold and has had its share.
+  /// Takes no new work: it is leaving, or it is cold and its limit is used up.
   kLeaving,
 };
 
-/// What this node may send to a leaf that is cold.
+/// Limit on what this node may send to a cold leaf.
 struct ColdLimit {
   Timestamp until{};
-  /// Sub-requests a second; zero: none.
+  /// Sub-requests per second; zero means none.
   double per_second = 0;
 };
 
-/// Where a leaf stands from this node's point of view.
+/// Location of a leaf relative to this node.
 struct LeafPlacement {
   /// In another zone.
   bool remote = false;
-  /// Among the leafs that this node works with as a rule.
+  /// In this node's preferred subset (connection_subset.h).
   bool preferred = true;
 };
 
@@ -44,50 +44,52 @@
  public:
   LeafPool(BalanceKnobs knobs, uint64_t seed) : knobs_(knobs), random_(seed) {}
 
-  /// Adds a leaf or sets its slots and placement anew.
+  /// Adds a leaf, or updates its slots and placement.
   void Configure(Timestamp now, const std::string& leaf, uint32_t slots,
                  LeafPlacement placement = {});
 
-  /// The leaf has ended; replies that are still to come from it say nothing.
+  /// Removes a leaf that has stopped; its late replies are ignored.
   void Remove(const std::string& leaf) { leafs_.erase(leaf); }
 
-  /// The sources of "leaving"; any one of them is enough (brief: a leaving back end gets no new
-  /// work). A source takes back only its own mark.
+  /// Sets the leafs that are leaving according to one source. Any one source is sufficient, because
+  /// a leaving back end must get no new work. A source revokes only its own mark.
   void SetLeavingInConfig(const std::set<std::string>& leafs);
   void SetLeavingOnPlatform(const std::set<std::string>& leafs);
-  /// The same for one leaf.
+  /// The same as SetLeavingOnPlatform() for one leaf.
   void SetLeafLeavingOnPlatform(const std::string& leaf, bool leaving);
-  /// What may be sent to leafs that are cold, by id; others bear what they always do. A leaf that
-  /// is limited already keeps what it has saved up.
+  /// Sets the limits of cold leafs by id; all other leafs are not limited. A leaf that already has
+  /// a limit keeps its accumulated credit.
   void SetCold(Timestamp now, const std::map<std::string, ColdLimit>& limits);
-  /// A health report of the leaf was read.
+  /// Handles a health report of the leaf.
   void OnHealth(Timestamp now, const std::string& leaf, bool draining);
 
   Availability AvailabilityOf(const std::string& leaf, Timestamp now) const;
 
-  /// @return the best replica that is ready and not in `excluded`.
+  /// Chooses at random among the replicas that are ready and not in `excluded`, preferring those
+  /// with a good score. @return unset if there are none.
   std::optional<std::string> Choose(Timestamp now, const std::vector<std::string>& replicas,
                                     const std::set<std::string>& excluded);
 
-  /// @param expected how long such a sub-request usually takes, at whatever leaf; leafs are
-  /// compared by how their latencies relate to this. Zero: the knob `initial_latency`.
+  /// Records a sent sub-request.
+  /// @param expected usual latency of such a sub-request over all leafs. Leafs are compared by the
+  /// ratio of their latencies to it. Zero selects the knob `initial_latency`.
   void OnSent(Timestamp now, const std::string& leaf, SubRequestId id, Duration expected = {});
-  /// @return the latency, unless the id was not out at the leaf.
+  /// Records a reply. @return the latency; unset if the sub-request was not outstanding.
   std::optional<Duration> OnReply(Timestamp now, const query::LeafReply& reply);
-  /// The sub-request was given up; its reply is not waited for.
+  /// Records that a sub-request was abandoned and its reply is no longer awaited.
   void OnAbandoned(Timestamp now, const std::string& leaf, SubRequestId id, bool timed_out);
 
   /// Registers sub-requests that wait for one of `replicas`; `count` may be negative.
   void AddWaiting(const std::vector<std::string>& replicas, int count);
-  /// Expected wait until one of `replicas` is free for one more sub-request.
+  /// Returns the expected wait until one of `replicas` is free for another sub-request.
   Duration ExpectedWait(Timestamp now, const std::vector<std::string>& replicas) const;
 
-  /// Requests per slot at the least full of `replicas` that can be used; 0 if none can.
+  /// Returns the requests per slot of the least full usable replica; 0 if none is usable.
   double Fullness(Timestamp now, const std::vector<std::string>& replicas) const;
 
-  /// The part of what is sent that the leaf is expected to refuse.
+  /// Returns the share of sub-requests that the leaf is expected to refuse.
   double RefusalRateOf(Timestamp now, const std::string& leaf) const;
-  /// The leaf's last refusal was for lack of room: asking it again soon is in vain.
+  /// Whether the leaf's last refusal was for lack of capacity, so that an early retry is useless.
   bool Crowded(const std::string& leaf) const;
 
   uint32_t Outstanding(const std::string& leaf) const;
@@ -97,29 +99,29 @@
  private:
   struct ColdState {
     ColdLimit limit;
-    /// Sub-requests that may go out, as of `counted`: one at most, so that leafs are not flooded.
-    double saved = 0;
-    Timestamp counted{};
+    /// Sub-requests that may be sent, as of `updated_at`; at most one, which prevents bursts.
+    double credit = 0;
+    Timestamp updated_at{};
   };
   struct InFlight {
     Timestamp sent;
-    /// How long such a sub-request usually takes.
+    /// Usual latency of such a sub-request.
     Duration expected;
   };
   struct LeafState {
     uint32_t slots = 1;
     LeafPlacement placement;
     Timestamp configured_at{};
-    /// Whether the leaf's own word on leaving has come.
+    /// Whether the leaf itself has reported whether it is draining.
     bool reported = false;
     double limit = 1;
-    /// What is out, by id; ids grow with time, so the first is the oldest.
-    std::map<SubRequestId, InFlight> out;
+    /// Outstanding sub-requests by id. Ids grow with time, so the first one is the oldest.
+    std::map<SubRequestId, InFlight> in_flight;
     double waiting = 0;
-    /// Moving average of latencies, as multiples of what was expected.
+    /// Moving average of the ratios of latencies to the expected ones.
     double slowness = 1;
     Timestamp slowness_at{};
-    /// What was expected of the newest sub-request.
+    /// Expected latency of the newest sub-request.
     Duration expected{};
     double load = 0;
     Timestamp load_at{};
@@ -127,17 +129,17 @@
     double fullness = 0;
     Timestamp last_decrease{};
     Timestamp last_sent{};
-    /// A sub-request was given up unanswered after too long, and nothing was heard since: other
-    /// replicas are preferred until then.
+    /// The leaf counts as stalled until then: a sub-request was abandoned after too long, and no
+    /// reply has arrived since.
     Timestamp suspect_until{};
     Duration suspicion{};
     int failures = 0;
-    /// Sub-requests in a row that were given up unanswered after longer than expected.
+    /// Consecutive sub-requests abandoned unanswered after longer than expected.
     int losses = 0;
     Timestamp ejected_until{};
     Duration ejection{};
     bool draining = false;
-    Timestamp said_draining{};
+    Timestamp last_draining_report{};
     bool leaving_in_config = false;
     bool leaving_on_platform = false;
   };
@@ -145,20 +147,20 @@
   double SlownessOf(const LeafState& state, Timestamp now) const;
   Duration LatencyOf(const LeafState& state, Timestamp now) const;
   double LoadOf(const LeafState& state, Timestamp now) const;
-  Duration Patience(const LeafState& state, const InFlight& out, Timestamp now) const;
+  Duration StallTimeout(const LeafState& state, const InFlight& in_flight, Timestamp now) const;
   bool Stalled(const LeafState& state, Timestamp now) const;
   bool HasRoom(const LeafState& state, Timestamp now) const;
   bool IsCold(const std::string& leaf, Timestamp now) const;
-  /// Sub-requests that a cold leaf may get now.
-  static double SavedBy(const ColdState& cold, Timestamp now);
+  /// Returns the number of sub-requests that a cold leaf may get now.
+  static double AvailableCredit(const ColdState& cold, Timestamp now);
   double Score(const LeafState& state, Timestamp now) const;
-  void NoteWord(LeafState* state, Timestamp now, bool draining) const;
+  void RecordDrainingReport(LeafState* state, Timestamp now, bool draining) const;
   void Decrease(LeafState* state, Timestamp now, double factor);
-  void NoteFailure(LeafState* state, Timestamp now);
-  /// A sub-request that was out for `used` times as long as expected was given up.
-  void NoteLoss(LeafState* state, Timestamp now, double used);
-  void NoteShed(LeafState* state, Timestamp now, uint32_t load);
-  void NoteSuccess(LeafState* state, Timestamp now, double slowness, uint32_t load);
+  void RecordFailure(LeafState* state, Timestamp now);
+  /// Records that a sub-request was abandoned after `ratio` times the expected latency.
+  void RecordLoss(LeafState* state, Timestamp now, double ratio);
+  void RecordShed(LeafState* state, Timestamp now, uint32_t load);
+  void RecordSuccess(LeafState* state, Timestamp now, double slowness, uint32_t load);
 
   BalanceKnobs knobs_;
   std::mt19937_64 random_;
--- a/test/balance/admission_throttle_test.cc
+++ b/test/balance/admission_throttle_test.cc
@@ -1,4 +1,4 @@
-// Admission by how full the leafs of each shard are.
+// Tests admission by the fullness of the leafs of each shard.
 #include "balance/admission_throttle.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -11,9 +11,9 @@
 class AdmissionThrottleTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AdmissionThrottleTest);
   CPPUNIT_TEST(EmptyLeafsAdmitEverything);
-  CPPUNIT_TEST(OneFullShardHoldsBackQueriesThatNeedIt);
+  CPPUNIT_TEST(OneFullShardThrottlesQueriesThatNeedIt);
   CPPUNIT_TEST(HigherPrioritiesAreRefusedLater);
-  CPPUNIT_TEST(ShareComesBackWhenTheLeafEmpties);
+  CPPUNIT_TEST(ShareRecoversWhenTheLeafEmpties);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -31,7 +31,7 @@
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, throttle_->AdmittedShare({}, 5), 1e-9);
   }
 
-  void OneFullShardHoldsBackQueriesThatNeedIt() {
+  void OneFullShardThrottlesQueriesThatNeedIt() {
     Report(Seconds(1), 2 * kSlots, 0);
     CPPUNIT_ASSERT(throttle_->AdmittedShare({}, 5) < 0.9);
     CPPUNIT_ASSERT(throttle_->AdmittedShare({ShardId{1}}, 5) < 0.9);
@@ -44,10 +44,10 @@
     CPPUNIT_ASSERT(throttle_->AdmittedShare({}, 5) > throttle_->AdmittedShare({}, 0));
   }
 
-  void ShareComesBackWhenTheLeafEmpties() {
+  void ShareRecoversWhenTheLeafEmpties() {
     Report(Seconds(5), 2 * kSlots, 0);
-    const double held_back = throttle_->AdmittedShare({}, 5);
-    CPPUNIT_ASSERT(held_back > 0);
+    const double throttled = throttle_->AdmittedShare({}, 5);
+    CPPUNIT_ASSERT(throttled > 0);
     Report(Seconds(5), 0, 0);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, throttle_->AdmittedShare({}, 5), 1e-9);
   }
@@ -55,7 +55,7 @@
  private:
   static constexpr uint32_t kSlots = 5;
 
-  /// Lets the leafs say how many requests they hold, every 20 ms for `time`.
+  /// Reports the leafs' loads every 20 ms for `time`.
   void Report(Duration time, uint32_t load_a, uint32_t load_b) {
     for (const Timestamp end = now_ + time; now_ < end; now_ += Milliseconds(20)) {
       for (const auto& [leaf, load] : {std::pair("a", load_a), std::pair("b", load_b)}) {
--- a/test/balance/connection_subset_test.cc
+++ b/test/balance/connection_subset_test.cc
@@ -1,4 +1,4 @@
-// Which leafs each gateway works with as a rule.
+// Tests the selection of each gateway's preferred leafs.
 #include "balance/connection_subset.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -23,22 +23,22 @@
 
 class ConnectionSubsetTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ConnectionSubsetTest);
-  CPPUNIT_TEST(AllWhereThereIsRoom);
-  CPPUNIT_TEST(AllWhereThereIsNoBound);
-  CPPUNIT_TEST(NoneOfNone);
+  CPPUNIT_TEST(AllLeafsWithinTheBoundArePreferred);
+  CPPUNIT_TEST(AllLeafsWithoutABoundArePreferred);
+  CPPUNIT_TEST(NoLeafsGiveAnEmptySubset);
   CPPUNIT_TEST(OwnZoneComesFirst);
   CPPUNIT_TEST(GatewaysTogetherStayWithinEveryLeafsBound);
   CPPUNIT_TEST(SizeFollowsTheBound);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void AllWhereThereIsRoom() {
+  void AllLeafsWithinTheBoundArePreferred() {
     CPPUNIT_ASSERT_EQUAL(size_t{2}, PreferredLeafs("g", Candidates(2), {26, 9}).size());
   }
-  void AllWhereThereIsNoBound() {
+  void AllLeafsWithoutABoundArePreferred() {
     CPPUNIT_ASSERT_EQUAL(size_t{3}, PreferredLeafs("g", Candidates(3), {0, 8800}).size());
   }
-  void NoneOfNone() { CPPUNIT_ASSERT(PreferredLeafs("g", {}, {26, 9}).empty()); }
+  void NoLeafsGiveAnEmptySubset() { CPPUNIT_ASSERT(PreferredLeafs("g", {}, {26, 9}).empty()); }
 
   void OwnZoneComesFirst() {
     std::vector<SubsetCandidate> candidates = Candidates(3);
@@ -49,7 +49,7 @@
     }
   }
 
-  /// 65 gateways over three leafs of 54 connections, as on the deployment that this is made for.
+  /// 65 gateways over three leafs of 54 connections each, as in the target deployment.
   void GatewaysTogetherStayWithinEveryLeafsBound() {
     constexpr size_t kGateways = 65;
     constexpr size_t kBound = 54;
--- a/test/balance/leaf_pool_test.cc
+++ b/test/balance/leaf_pool_test.cc
@@ -1,4 +1,4 @@
-// Choice of replicas, leaving leafs, ejection, and the extra-load budget.
+// Tests the choice of replicas, leaving leafs, ejection, and the extra-load budget.
 #include "balance/leaf_pool.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -27,13 +27,14 @@
   pool->OnReply(now + latency, Reply(leaf, id, query::LeafStatus::kOk));
 }
 
-/// How often `first` is drawn of a thousand times.
-int Draws(LeafPool* pool, Timestamp now, const std::string& first, const std::string& second) {
-  int drawn = 0;
+/// Returns how often `first` is chosen in a thousand draws.
+int CountChosen(LeafPool* pool, Timestamp now, const std::string& first,
+                const std::string& second) {
+  int chosen = 0;
   for (int i = 0; i < 1000; ++i) {
-    drawn += pool->Choose(now, {first, second}, {}) == first ? 1 : 0;
+    chosen += pool->Choose(now, {first, second}, {}) == first ? 1 : 0;
   }
-  return drawn;
+  return chosen;
 }
 
 }  // namespace
@@ -41,40 +42,41 @@
 class LeafPoolTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LeafPoolTest);
   CPPUNIT_TEST(AnySourceOfLeavingIsEnough);
-  CPPUNIT_TEST(StaleReportDoesNotTakeBackDraining);
+  CPPUNIT_TEST(StaleReportDoesNotRevokeDraining);
   CPPUNIT_TEST(UnknownLeafWaitsForItsFirstReport);
-  CPPUNIT_TEST(LeafThatWasGoneWaitsForAFreshReport);
-  CPPUNIT_TEST(FailuresEjectAndProbationBringsBack);
+  CPPUNIT_TEST(UnreachableLeafWaitsForAFreshReport);
+  CPPUNIT_TEST(FailuresEjectAndASuccessRestores);
   CPPUNIT_TEST(SheddingForLackOfRoomLowersTheLimit);
-  CPPUNIT_TEST(LeafThatRefusesWithRoomStaysOpen);
-  CPPUNIT_TEST(LeafThatRefusesOftenIsDrawnLessOftenUntilItRecovers);
+  CPPUNIT_TEST(LeafThatRefusesWithFreeCapacityStaysReady);
+  CPPUNIT_TEST(LeafThatRefusesOftenIsChosenLessUntilItRecovers);
   CPPUNIT_TEST(ExtraLoadStaysWithinItsShare);
-  CPPUNIT_TEST(LeafsAreComparedByWhatWasExpectedOfThem);
-  CPPUNIT_TEST(LeafLeftAloneLooksNoFasterThanUsual);
-  CPPUNIT_TEST(LeafOutsideTheSubsetIsDrawnLessOften);
-  CPPUNIT_TEST(LeafThatLosesAgainAndAgainIsLeftFor);
+  CPPUNIT_TEST(LeafsAreComparedRelativeToTheExpectedLatency);
+  CPPUNIT_TEST(SlownessOfAnIdleLeafReturnsToNormal);
+  CPPUNIT_TEST(LeafOutsideTheSubsetIsChosenLess);
+  CPPUNIT_TEST(LeafWithConsecutiveLossesIsAvoided);
   CPPUNIT_TEST(ColdLeafGetsNoMoreThanItsLimit);
-  CPPUNIT_TEST(ColdLeafWithoutAShareGetsNothingUntilItIsWarm);
+  CPPUNIT_TEST(ColdLeafWithZeroLimitGetsNothingUntilItIsWarm);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  /// The near leaf never answers in time, and nobody waits for it: what it is learnt to be must not
-  /// hang on an answer.
-  void LeafThatLosesAgainAndAgainIsLeftFor() {
+  /// The near leaf never answers in time, so all its sub-requests are abandoned. Its slowness must
+  /// be learned without any reply.
+  void LeafWithConsecutiveLossesIsAvoided() {
     LeafPool pool({.loss_growth = 2.0, .remote_penalty = 3}, 1);
     pool.Configure(kStart, "near", 2, {.remote = false});
     pool.Configure(kStart, "far", 2, {.remote = true});
-    CPPUNIT_ASSERT(Draws(&pool, kStart, "near", "far") > 850);
+    CPPUNIT_ASSERT(CountChosen(&pool, kStart, "near", "far") > 850);
     Timestamp now = kStart;
     for (uint64_t i = 1; i <= 3; ++i) {
       pool.OnSent(now, "near", SubRequestId{i}, Milliseconds(10));
       now += Milliseconds(25);
       pool.OnAbandoned(now, "near", SubRequestId{i}, /*timed_out=*/false);
     }
-    // Asked for one request in four only; a loss within what is believed already adds nothing.
-    CPPUNIT_ASSERT(Draws(&pool, now, "near", "far") < 350);
-    // It is tried again by and by, and one answer in time clears it of its row of losses.
-    CPPUNIT_ASSERT(Draws(&pool, now + Seconds(20), "near", "far") > 850);
+    // The near leaf gets about one request in four. A loss within the current estimate adds
+    // nothing.
+    CPPUNIT_ASSERT(CountChosen(&pool, now, "near", "far") < 350);
+    // The slowness returns to normal over time.
+    CPPUNIT_ASSERT(CountChosen(&pool, now + Seconds(20), "near", "far") > 850);
   }
 
   void ColdLeafGetsNoMoreThanItsLimit() {
@@ -92,19 +94,19 @@
     CPPUNIT_ASSERT(pool.AvailabilityOf("a", kStart + Seconds(3)) == Availability::kReady);
   }
 
-  void ColdLeafWithoutAShareGetsNothingUntilItIsWarm() {
+  void ColdLeafWithZeroLimitGetsNothingUntilItIsWarm() {
     LeafPool pool({}, 1);
     pool.Configure(kStart, "a", 2);
     pool.SetCold(kStart, {{"a", {kStart + Seconds(3), 0.0}}});
-    // Not "busy": nobody waits for it.
+    // Not kBusy: requests do not wait for it.
     CPPUNIT_ASSERT(pool.AvailabilityOf("a", kStart + Seconds(2)) == Availability::kLeaving);
     CPPUNIT_ASSERT(!pool.Choose(kStart + Seconds(2), {"a"}, {}).has_value());
     pool.SetCold(kStart + Seconds(2), {});
     CPPUNIT_ASSERT(pool.AvailabilityOf("a", kStart + Seconds(2)) == Availability::kReady);
   }
 
-  /// One leaf serves long requests, the other short ones; both as fast as expected.
-  void LeafsAreComparedByWhatWasExpectedOfThem() {
+  /// One leaf serves long requests and the other short ones, both with the expected latencies.
+  void LeafsAreComparedRelativeToTheExpectedLatency() {
     LeafPool pool({}, 1);
     pool.Configure(kStart, "long", 2);
     pool.Configure(kStart, "short", 2);
@@ -115,12 +117,12 @@
       Serve(&pool, now, "short", SubRequestId{++id}, Milliseconds(10), Milliseconds(10));
       now += Milliseconds(40);
     }
-    const int drawn = Draws(&pool, now, "long", "short");
-    CPPUNIT_ASSERT(drawn > 400 && drawn < 600);
+    const int chosen = CountChosen(&pool, now, "long", "short");
+    CPPUNIT_ASSERT(chosen > 400 && chosen < 600);
   }
 
-  /// A slow leaf that nobody has asked for long is tried again, but not before the healthy one.
-  void LeafLeftAloneLooksNoFasterThanUsual() {
+  /// A slow leaf without recent requests is tried again, but is not preferred to the healthy one.
+  void SlownessOfAnIdleLeafReturnsToNormal() {
     LeafPool pool({}, 1);
     pool.Configure(kStart, "slow", 2);
     pool.Configure(kStart, "good", 2);
@@ -134,16 +136,16 @@
       Serve(&pool, now, "good", SubRequestId{++id}, Milliseconds(30), Milliseconds(30));
       now += Milliseconds(30);
     }
-    const int drawn = Draws(&pool, now, "slow", "good");
-    CPPUNIT_ASSERT(drawn > 0 && drawn <= 550);
+    const int chosen = CountChosen(&pool, now, "slow", "good");
+    CPPUNIT_ASSERT(chosen > 0 && chosen <= 550);
   }
 
-  void LeafOutsideTheSubsetIsDrawnLessOften() {
+  void LeafOutsideTheSubsetIsChosenLess() {
     LeafPool pool({}, 1);
     pool.Configure(kStart, "outside", 2, {.remote = false, .preferred = false});
     pool.Configure(kStart, "inside", 2);
-    const int drawn = Draws(&pool, kStart, "outside", "inside");
-    CPPUNIT_ASSERT(drawn > 100 && drawn < 300);
+    const int chosen = CountChosen(&pool, kStart, "outside", "inside");
+    CPPUNIT_ASSERT(chosen > 100 && chosen < 300);
   }
 
   void AnySourceOfLeavingIsEnough() {
@@ -162,7 +164,7 @@
     CPPUNIT_ASSERT(!pool.Choose(later, {"b"}, {}).has_value());
   }
 
-  void StaleReportDoesNotTakeBackDraining() {
+  void StaleReportDoesNotRevokeDraining() {
     LeafPool pool({}, 1);
     pool.Configure(kStart, "a", 2);
     pool.OnHealth(kStart, "a", true);
@@ -185,8 +187,8 @@
     CPPUNIT_ASSERT(pool.AvailabilityOf("b", kStart + Seconds(5)) == Availability::kReady);
   }
 
-  /// Its word that it leaves may have been lost while it was gone.
-  void LeafThatWasGoneWaitsForAFreshReport() {
+  /// A report that the leaf is leaving may have been lost while it was unreachable.
+  void UnreachableLeafWaitsForAFreshReport() {
     BalanceKnobs knobs;
     knobs.first_report_patience = Seconds(5);
     LeafPool pool(knobs, 1);
@@ -200,7 +202,7 @@
     CPPUNIT_ASSERT(pool.AvailabilityOf("a", later) == Availability::kReady);
   }
 
-  void FailuresEjectAndProbationBringsBack() {
+  void FailuresEjectAndASuccessRestores() {
     const BalanceKnobs knobs;
     LeafPool pool(knobs, 1);
     pool.Configure(kStart, "a", 4);
@@ -213,7 +215,7 @@
     const Timestamp back = kStart + knobs.ejection_time;
     CPPUNIT_ASSERT(pool.AvailabilityOf("a", back) == Availability::kReady);
     pool.OnSent(back, "a", SubRequestId{++id});
-    // One request at a time until it has answered.
+    // One request at a time until the leaf has answered.
     CPPUNIT_ASSERT(pool.AvailabilityOf("a", back) == Availability::kBusy);
     pool.OnReply(back, Reply("a", SubRequestId{id}, query::LeafStatus::kOk));
     CPPUNIT_ASSERT(pool.AvailabilityOf("a", back) == Availability::kReady);
@@ -229,7 +231,7 @@
     pool.OnReply(kStart, full);
     CPPUNIT_ASSERT(pool.Limit("a") < before);
     CPPUNIT_ASSERT(pool.Crowded("a"));
-    // One that does not tell its load is known to be full by its refusals in a row.
+    // A leaf that reports no load is recognized as full by its consecutive refusals.
     pool.Configure(kStart, "b", 4);
     uint64_t id = 1;
     while (id < 20 && !pool.Crowded("b")) {
@@ -239,8 +241,9 @@
     CPPUNIT_ASSERT(pool.Limit("b") < before);
   }
 
-  /// A leaf that sheds two requests of three at random seemed busy to everybody after a few.
-  void LeafThatRefusesWithRoomStaysOpen() {
+  /// Guards against treating a leaf as busy that sheds two of three requests at random: after a few
+  /// refusals no node would send to it.
+  void LeafThatRefusesWithFreeCapacityStaysReady() {
     LeafPool pool({}, 1);
     pool.Configure(kStart, "a", 2);
     Timestamp now = kStart;
@@ -256,7 +259,7 @@
     CPPUNIT_ASSERT(pool.RefusalRateOf(now, "a") > 0.4);
   }
 
-  void LeafThatRefusesOftenIsDrawnLessOftenUntilItRecovers() {
+  void LeafThatRefusesOftenIsChosenLessUntilItRecovers() {
     LeafPool pool({}, 1);
     pool.Configure(kStart, "a", 2);
     pool.Configure(kStart, "b", 2);
@@ -265,37 +268,38 @@
       pool.OnSent(kStart, "a", SubRequestId{++id});
       pool.OnReply(kStart, Reply("a", SubRequestId{id}, query::LeafStatus::kShed));
     }
-    CPPUNIT_ASSERT(Draws(&pool, kStart, "a", "b") < 30);
-    // It is not forgotten at once, but in time.
-    CPPUNIT_ASSERT(Draws(&pool, kStart + Seconds(2), "a", "b") < 100);
-    CPPUNIT_ASSERT(Draws(&pool, kStart + Seconds(40), "a", "b") > 400);
-    // What it takes again tells the same sooner.
+    CPPUNIT_ASSERT(CountChosen(&pool, kStart, "a", "b") < 30);
+    // The refusals lose weight gradually.
+    CPPUNIT_ASSERT(CountChosen(&pool, kStart + Seconds(2), "a", "b") < 100);
+    CPPUNIT_ASSERT(CountChosen(&pool, kStart + Seconds(40), "a", "b") > 400);
+    // Accepted requests restore the leaf faster.
     const Timestamp later = kStart + Seconds(5);
     for (int i = 0; i < 8; ++i) {
       pool.OnSent(later, "a", SubRequestId{++id});
       pool.OnReply(later, Reply("a", SubRequestId{id}, query::LeafStatus::kOk));
     }
-    CPPUNIT_ASSERT(Draws(&pool, later, "a", "b") > 300);
+    CPPUNIT_ASSERT(CountChosen(&pool, later, "a", "b") > 300);
   }
 
   void ExtraLoadStaysWithinItsShare() {
-    const bool held = rc::check("extra load is bounded", [](const std::vector<bool>& tries) {
-      constexpr double kBurst = 10;
-      constexpr double kShare = 0.05;
-      ExtraLoadBudget budget(kBurst);
-      double regular = 0;
-      double extra = 0;
-      for (const bool wants_extra : tries) {
-        if (wants_extra) {
-          extra += budget.TrySpend(Timestamp{}) ? 1 : 0;
-        } else {
-          budget.OnRegular(Timestamp{}, kShare);
-          ++regular;
-        }
-        RC_ASSERT(extra <= kBurst + kShare * regular);
-      }
-    });
-    CPPUNIT_ASSERT(held);
+    const bool property_holds =
+        rc::check("extra load is bounded", [](const std::vector<bool>& tries) {
+          constexpr double kBurst = 10;
+          constexpr double kShare = 0.05;
+          ExtraLoadBudget budget(kBurst);
+          double regular = 0;
+          double extra = 0;
+          for (const bool wants_extra : tries) {
+            if (wants_extra) {
+              extra += budget.TrySpend(Timestamp{}) ? 1 : 0;
+            } else {
+              budget.OnRegular(Timestamp{}, kShare);
+              ++regular;
+            }
+            RC_ASSERT(extra <= kBurst + kShare * regular);
+          }
+        });
+    CPPUNIT_ASSERT(property_holds);
   }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(LeafPoolTest);
--- a/test/balance/sliding_window_budget_test.cc
+++ b/test/balance/sliding_window_budget_test.cc
@@ -1,4 +1,4 @@
-// The bound on extra sub-requests holds in every window, wherever it lies.
+// Tests that the bound on extra sub-requests holds in every position of the window.
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
 
@@ -10,12 +10,12 @@
 
 class SlidingWindowBudgetTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SlidingWindowBudgetTest);
-  CPPUNIT_TEST(AllowanceComesBackAfterTheWindow);
+  CPPUNIT_TEST(AllowanceIsRestoredAfterTheWindow);
   CPPUNIT_TEST(NoWindowHoldsMoreThanItsBound);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void AllowanceComesBackAfterTheWindow() {
+  void AllowanceIsRestoredAfterTheWindow() {
     SlidingWindowBudget budget(Seconds(10), 0.5);
     budget.SetAllowance(2);
     const Timestamp start{Seconds(1000)};
@@ -33,7 +33,7 @@
   }
 
   void NoWindowHoldsMoreThanItsBound() {
-    const bool held = rc::check("extra in any window within its bound", [] {
+    const bool property_holds = rc::check("extra in any window within its bound", [] {
       constexpr Duration kWindow = Seconds(10);
       constexpr double kRatio = 0.2;
       constexpr double kAllowance = 5;
@@ -52,8 +52,8 @@
           extra.push_back(now);
         }
       }
-      // It is enough to look at windows that begin with an extra one. Regular ones of the same
-      // window count, and those before it, as for whoever checks the bound from outside.
+      // Only windows that begin with an extra sub-request need to be checked. The bound counts the
+      // regular sub-requests in the window and in the one before it, like an external check.
       for (const Timestamp begin : extra) {
         const auto count = [begin, kWindow](const std::vector<Timestamp>& times, Duration before) {
           return std::count_if(times.begin(), times.end(), [&](Timestamp t) {
@@ -64,7 +64,7 @@
         RC_ASSERT(static_cast<double>(count(extra, Duration(0))) <= bound);
       }
     });
-    CPPUNIT_ASSERT(held);
+    CPPUNIT_ASSERT(property_holds);
   }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(SlidingWindowBudgetTest);
