--- a/src/control/control_commands.cc
+++ b/src/control/control_commands.cc
@@ -1,5 +1,5 @@
-// The part of ControlServer that takes commands of operators and nodes to the log: proposes them
-// here or passes them on to the leader, and answers whoever gave them.
+// The part of ControlServer that handles commands of operators and nodes: proposes them here or
+// forwards them to the leader, and answers the sender.
 #include <algorithm>
 #include <iterator>
 #include <utility>
@@ -48,7 +48,7 @@
 }
 
 void ControlServer::SendForwarded(Timestamp now, uint64_t ticket, ForwardedCommand* forwarded) {
-  // One that leads itself by now proposes it at its next look (ForwardAgain()).
+  // If this machine has become the leader, RetryForwarded() proposes the command at the next tick.
   const bool leads = raft_.role() == consensus::Role::kLeader;
   forwarded->leader = leads ? 0 : raft_.leader();
   forwarded->sent = now;
@@ -57,32 +57,33 @@
   }
 }
 
-void ControlServer::ForwardAgain(Timestamp now) {
-  std::vector<std::pair<std::string, Origin>> led_here;
+void ControlServer::RetryForwarded(Timestamp now) {
+  std::vector<std::pair<std::string, Origin>> to_propose;
   for (auto it = forwarded_.begin(); it != forwarded_.end();) {
     ForwardedCommand& forwarded = it->second;
-    // Operators' changes alone: twice is once by their submission id, or by what they are.
+    // Only changes of operators may be repeated: a submission ID or their content makes them
+    // idempotent.
     const bool repeatable = forwarded.origin.kind == Origin::Kind::kOperator;
-    const bool unanswered = now - forwarded.sent >= options_.forward_patience;
+    const bool pending_hello = now - forwarded.sent >= options_.forward_timeout;
     const bool other_leader = raft_.leader() != 0 && raft_.leader() != forwarded.leader;
-    if (!repeatable || (!unanswered && !other_leader)) {
+    if (!repeatable || (!pending_hello && !other_leader)) {
       ++it;
     } else if (raft_.role() == consensus::Role::kLeader) {
-      led_here.emplace_back(forwarded.command, forwarded.origin);
+      to_propose.emplace_back(forwarded.command, forwarded.origin);
       it = forwarded_.erase(it);
     } else {
       SendForwarded(now, it->first, &forwarded);
       ++it;
     }
   }
-  for (const auto& [command, origin] : led_here) {
+  for (const auto& [command, origin] : to_propose) {
     ProposeHere(now, command, origin);
   }
 }
 
-void ControlServer::ReadAgain(Timestamp now) {
+void ControlServer::RetryReads(Timestamp now) {
   for (auto& [read, pending] : config_reads_) {
-    if (now - pending.asked >= options_.forward_patience) {
+    if (now - pending.asked >= options_.forward_timeout) {
       pending.asked = now;
       raft_.RequestRead(now, read);
     }
@@ -96,14 +97,14 @@
     return;
   }
   const bool repeats = origin.kind == Origin::Kind::kOperator;
-  Proposal cut_off =
+  Proposal truncated =
       std::exchange(proposals_[*index], {raft_.term(), origin, repeats ? command : std::string()});
-  if (cut_off.term != 0) {
-    GiveUp(now, std::move(cut_off));
+  if (truncated.term != 0) {
+    AbandonProposal(now, std::move(truncated));
   }
 }
 
-void ControlServer::GiveUp(Timestamp now, Proposal proposal) {
+void ControlServer::AbandonProposal(Timestamp now, Proposal proposal) {
   switch (proposal.origin.kind) {
     case Origin::Kind::kOperator: {
       const uint64_t ticket = next_ticket_++;
@@ -114,7 +115,7 @@
       break;
     }
     case Origin::Kind::kPeer:
-      // It passes the command on again by itself.
+      // The peer forwards the command again by itself.
       break;
     default:
       AnswerNoQuorum(proposal.origin);
@@ -122,18 +123,18 @@
   }
 }
 
-void ControlServer::GiveUpDeposed(Timestamp now) {
+void ControlServer::AbandonDeposed(Timestamp now) {
   const bool leads = raft_.role() == consensus::Role::kLeader;
   std::vector<Proposal> deposed;
   std::erase_if(proposals_, [&](auto& item) {
-    const bool ours = leads && item.second.term == raft_.term();
-    if (!ours) {
+    const bool current = leads && item.second.term == raft_.term();
+    if (!current) {
       deposed.push_back(std::move(item.second));
     }
-    return !ours;
+    return !current;
   });
   for (Proposal& proposal : deposed) {
-    GiveUp(now, std::move(proposal));
+    AbandonProposal(now, std::move(proposal));
   }
 }
 
@@ -201,21 +202,23 @@
   }
 }
 
-void ControlServer::OnRunReportOf(Timestamp now, SessionId session, const wire::RunReport& report) {
+void ControlServer::OnRunReportFromNode(Timestamp now, SessionId session,
+                                        const wire::RunReport& report) {
   OnRunReport(now, report);
-  // One that is cut off may be the only one that knows: whoever reports tells others, too.
+  // Acknowledges only with a quorum: a machine without one may be the only one that knows the
+  // report, so the sender must report to others, too.
   if (report.number != 0 && IsCurrent(now)) {
     output_.sessions.push_back({session, Wrap(wire::RunReportTaken{report.number})});
   }
 }
 
-void ControlServer::KeepQuarantine(Timestamp now) {
+void ControlServer::UpdateQuarantine(Timestamp now) {
   if (shutting_down_ || !options_.stop_fatal_requests || !IsCurrent(now)) {
     return;
   }
   const bool leads = raft_.role() == consensus::Role::kLeader;
   std::optional<QuarantineProposal> proposal = quarantine_.Propose(now, state_.config(), leads);
-  WarnOfSuspects();
+  NotifySuspects();
   if (!proposal.has_value()) {
     return;
   }
@@ -225,7 +228,7 @@
   output_.quarantine.push_back(*std::move(proposal));
 }
 
-void ControlServer::WarnOfSuspects() {
+void ControlServer::NotifySuspects() {
   wire::SuspectNotice notice{quarantine_.TakeNewSuspects()};
   if (notice.requests.empty() || sessions_.empty()) {
     return;
--- a/src/control/control_replicas.cc
+++ b/src/control/control_replicas.cc
@@ -1,5 +1,5 @@
-// The replacement of lost replicas, and what is said of redundancy: the part of ControlServer that
-// looks after the group itself.
+// The part of ControlServer that manages the group: the replacement of lost replicas and the status
+// of redundancy.
 #include <algorithm>
 #include <utility>
 
@@ -9,8 +9,8 @@
 namespace pumicedyke::control {
 namespace {
 
-/// A machine that is heard at all answers within this; one that is not is not counted on.
-constexpr Duration kStatusPatience = Milliseconds(500);
+/// Maximum time to wait for the replicas; a machine that does not answer within it is not counted.
+constexpr Duration kStatusTimeout = Milliseconds(500);
 
 }  // namespace
 
@@ -37,7 +37,7 @@
 }
 
 void ControlServer::RelayJoin(const wire::JoinRequest& join) {
-  // Once only: two machines may name each other as leader for a moment.
+  // Relayed only once, since two machines may briefly regard each other as leader.
   const bool may_relay = options_.relay_joins && !join.relayed && raft_.leader() != 0;
   if (may_relay) {
     wire::JoinRequest relayed = join;
@@ -64,7 +64,7 @@
     return;
   }
   std::vector<wire::Member> members = raft_.members();
-  // An earlier newcomer of the same machine that never got a vote has been lost as well.
+  // An earlier new replica on the same machine that never became a voter is lost as well.
   std::erase_if(members, [&](const wire::Member& member) {
     return member.machine == join.machine && !member.voter;
   });
@@ -83,31 +83,31 @@
   return options_.voters == 0 ? options_.seeds.size() : options_.voters;
 }
 
-void ControlServer::NoteHeard(Timestamp now) {
-  const bool fresh_term = member_heard_term_ != raft_.term();
+void ControlServer::UpdateLastContact(Timestamp now) {
+  const bool fresh_term = member_last_contact_term_ != raft_.term();
   if (fresh_term) {
-    member_heard_.clear();
-    member_heard_term_ = raft_.term();
+    member_last_contact_.clear();
+    member_last_contact_term_ = raft_.term();
   }
   if (raft_.role() != consensus::Role::kLeader) {
     return;
   }
   for (const wire::Member& member : raft_.members()) {
-    const bool heard = member.id == raft_.self() || raft_.RecentlyHeard(member.id, now);
-    if (heard || !member_heard_.contains(member.id)) {
-      member_heard_[member.id] = now;
+    const bool last_contact = member.id == raft_.self() || raft_.RecentlyHeard(member.id, now);
+    if (last_contact || !member_last_contact_.contains(member.id)) {
+      member_last_contact_[member.id] = now;
     }
   }
 }
 
-bool ControlServer::SilentForLong(const wire::Member& member, Timestamp now) const {
-  const auto heard = member_heard_.find(member.id);
-  return options_.replace_silent_after.count() > 0 && heard != member_heard_.end() &&
-         now - heard->second >= options_.replace_silent_after;
+bool ControlServer::IsSilentTooLong(const wire::Member& member, Timestamp now) const {
+  const auto last_contact = member_last_contact_.find(member.id);
+  return options_.replace_silent_after.count() > 0 && last_contact != member_last_contact_.end() &&
+         now - last_contact->second >= options_.replace_silent_after;
 }
 
 void ControlServer::ReplaceLostReplicas(Timestamp now) {
-  NoteHeard(now);
+  UpdateLastContact(now);
   const bool may_change = raft_.role() == consensus::Role::kLeader && raft_.MembersCommitted();
   if (!may_change) {
     return;
@@ -115,31 +115,32 @@
   const auto is_voter = [](const wire::Member& member) { return member.voter; };
   const auto voters =
       static_cast<size_t>(std::count_if(raft_.members().begin(), raft_.members().end(), is_voter));
-  for (const wire::Member& newcomer : raft_.members()) {
-    const bool ready = CaughtUp(newcomer.id, now) || !options_.catch_up_before_vote;
-    if (newcomer.voter || !ready) {
+  for (const wire::Member& new_replica : raft_.members()) {
+    const bool ready = CaughtUp(new_replica.id, now) || !options_.catch_up_before_vote;
+    if (new_replica.voter || !ready) {
       continue;
     }
     std::vector<wire::Member> members = raft_.members();
     const auto lost = std::find_if(members.begin(), members.end(), [&](const auto& member) {
-      return member.machine == newcomer.machine && member.voter;
+      return member.machine == new_replica.machine && member.voter;
     });
-    // The lost incarnation goes before the new one votes: until then a further loss could stop
-    // the group, but two quorums of the same machine can never be formed.
+    // The lost incarnation is removed before the new one becomes a voter. Until then a further loss
+    // could stop the group, but two quorums that count the same machine can never form.
     if (lost != members.end()) {
       members.erase(lost);
     } else if (voters >= WantedVoters()) {
       const auto silent = std::find_if(members.begin(), members.end(), [&](const auto& member) {
-        return member.voter && SilentForLong(member, now);
+        return member.voter && IsSilentTooLong(member, now);
       });
       if (silent == members.end()) {
-        continue;  // A non-voting relay.
+        continue;  // Remains a non-voting relay.
       }
-      // As above: one voter less for a moment, never two majorities.
+      // As above: briefly one voter less, but never two majorities.
       members.erase(silent);
     } else {
-      const auto self = std::find_if(members.begin(), members.end(),
-                                     [&](const auto& member) { return member.id == newcomer.id; });
+      const auto self = std::find_if(members.begin(), members.end(), [&](const auto& member) {
+        return member.id == new_replica.id;
+      });
       self->voter = true;
     }
     raft_.ProposeMembers(now, members).status().IgnoreError();
@@ -156,11 +157,11 @@
   const bool leads = raft_.role() == consensus::Role::kLeader && raft_.HasLease(now);
   std::erase_if(status_reads_, [&](const StatusRead& read) {
     const bool redundant = FullyRedundantSince(read.asked, now);
-    const bool over = redundant || !leads || shutting_down_ || now - read.asked >= kStatusPatience;
-    if (over) {
+    const bool done = redundant || !leads || shutting_down_ || now - read.asked >= kStatusTimeout;
+    if (done) {
       output_.operators.push_back({read.ticket, StatusJson(now, redundant)});
     }
-    return over;
+    return done;
   });
 }
 
@@ -171,7 +172,7 @@
   }
   size_t voters = 0;
   for (const wire::Member& member : raft_.members()) {
-    // What was heard before the question says nothing about a machine lost since.
+    // Contact before the status call proves nothing about a machine lost since.
     const bool holds_all =
         raft_.HeardSince(member.id, asked) && raft_.MatchIndex(member.id) >= raft_.commit_index();
     if (!member.voter || (!holds_all && options_.catch_up_before_vote)) {
--- a/src/control/control_server.cc
+++ b/src/control/control_server.cc
@@ -42,8 +42,8 @@
   } else if (joined != join_addresses_.end()) {
     output_.peers.push_back({joined->second, Wrap(std::move(body))});
   } else {
-    // A replica that is just joining does not know where the members are, but the message names
-    // its receiver: the others drop it.
+    // A joining replica does not know the members yet. The message names its receiver, so that the
+    // other machines drop it.
     const wire::Envelope envelope = Wrap(std::move(body));
     for (const std::string& seed : options_.seeds) {
       if (seed != options_.address) {
@@ -59,13 +59,13 @@
   raft_.Tick(now);
   DrainRaft(now);
   ExpirePending(now);
-  GiveUpDeposed(now);
-  ForwardAgain(now);
-  ReadAgain(now);
+  AbandonDeposed(now);
+  RetryForwarded(now);
+  RetryReads(now);
   std::erase_if(sessions_, [&](const auto& item) {
-    return now - item.second.last_heard > options_.session_timeout;
+    return now - item.second.last_contact > options_.session_timeout;
   });
-  KeepQuarantine(now);
+  UpdateQuarantine(now);
   SendJoin(now);
   ReplaceLostReplicas(now);
   DrainRaft(now);
@@ -97,7 +97,8 @@
     return;
   }
   if (shutting_down_) {
-    // One close for each greeting, not for each request: the node repeats its requests on a close.
+    // Closes once for each hello, not for each request, since the node repeats its requests after a
+    // close.
     if (std::holds_alternative<wire::NodeHello>(envelope.body)) {
       output_.closed_sessions.push_back(session);
     }
@@ -108,7 +109,7 @@
   } else if (const auto* request = std::get_if<wire::LedgerRequest>(&envelope.body)) {
     OnLedgerRequest(now, session, *request);
   } else if (const auto* report = std::get_if<wire::RunReport>(&envelope.body)) {
-    OnRunReportOf(now, session, *report);
+    OnRunReportFromNode(now, session, *report);
   }
   DrainRaft(now);
 }
@@ -118,46 +119,46 @@
 // ---- The log ------------------------------------------------------------------------------------
 
 void ControlServer::DrainRaft(Timestamp now) {
-  consensus::RaftOutput out = raft_.TakeOutput();
-  if (out.restored.has_value()) {
-    if (!out.restored->state.empty()) {
-      state_.Restore(out.restored->state).IgnoreError();
+  consensus::RaftOutput raft_output = raft_.TakeOutput();
+  if (raft_output.restored.has_value()) {
+    if (!raft_output.restored->state.empty()) {
+      state_.Restore(raft_output.restored->state).IgnoreError();
     }
-    applied_index_ = out.restored->index;
+    applied_index_ = raft_output.restored->index;
   }
-  for (const consensus::Applied& applied : out.applied) {
+  for (const consensus::Applied& applied : raft_output.applied) {
     const std::string result = state_.Apply(applied.command);
     applied_index_ = applied.index;
     const auto it = proposals_.find(applied.index);
     if (it != proposals_.end()) {
       Proposal proposal = std::move(it->second);
       proposals_.erase(it);
-      // Another term's entry at this index means that ours was replaced.
+      // An entry of another term at this index means that the proposal was replaced.
       if (proposal.term == applied.term) {
         Answer(proposal.origin, result);
       } else {
-        GiveUp(now, std::move(proposal));
+        AbandonProposal(now, std::move(proposal));
       }
     }
   }
   applied_index_ = std::max(applied_index_, raft_.commit_index());
-  if (!out.applied.empty() || out.restored.has_value()) {
+  if (!raft_output.applied.empty() || raft_output.restored.has_value()) {
     FeedAll(now);
   }
-  for (wire::RaftMessage& message : out.messages) {
+  for (wire::RaftMessage& message : raft_output.messages) {
     const MemberId to = message.to;
     SendToMember(to, std::move(message));
   }
-  AnswerGreetings(now);
+  AnswerPendingHellos(now);
   AnswerReads(now);
   AnswerStatusReads(now);
   MaybeCompact();
 }
 
 void ControlServer::MaybeCompact() {
-  const bool long_enough = storage_->log_bytes() >= options_.snapshot_log_bytes &&
-                           applied_index_ > raft_.snapshot_index();
-  if (!long_enough || !raft_.failure().ok()) {
+  const bool log_too_long = storage_->log_bytes() >= options_.snapshot_log_bytes &&
+                            applied_index_ > raft_.snapshot_index();
+  if (!log_too_long || !raft_.failure().ok()) {
     return;
   }
   raft_.Compact(applied_index_, state_.Serialize()).IgnoreError();
@@ -204,13 +205,13 @@
         session->second.awaiting_read = false;
         session->second.admitted = true;
         session->second.full_sent = now;
-        Feed(now, session->first, &session->second, /*full=*/true, session->second.read_greeting);
+        Feed(now, session->first, &session->second, /*full=*/true, session->second.read_hello_sent);
       }
       session_reads_.erase(it);
     }
     if (const auto it = config_reads_.find(read); it != config_reads_.end()) {
       const bool leads = raft_.role() == consensus::Role::kLeader;
-      // A leader that was frozen between the read and this reply finds its lease gone.
+      // A leader that was paused between the read and this reply has lost its lease.
       if (!leads || raft_.HasLease(now)) {
         output_.operators.push_back(ReadReply(it->second));
         config_reads_.erase(it);
@@ -235,24 +236,24 @@
   Session& session = sessions_[id];
   session.node = hello.node;
   session.incarnation = hello.incarnation;
-  session.last_heard = now;
+  session.last_contact = now;
   session.reported_version = hello.version;
-  session.unanswered.reset();
-  // A machine cut off from the quorum stays silent, so that the node turns to another one.
+  session.pending_hello.reset();
+  // A machine without a quorum does not answer, so that the node switches to another one.
   if (!IsCurrent(now)) {
-    session.unanswered = hello;
+    session.pending_hello = hello;
     return;
   }
   if (hello.starting) {
-    // The first state is still on its way; it may be large.
-    if (session.admitted && now - session.full_sent < options_.full_feed_patience) {
+    // The full state is still being sent; it may be large.
+    if (session.admitted && now - session.full_sent < options_.full_feed_interval) {
       return;
     }
     const bool repeat = now - session.read_requested > options_.raft.election_timeout;
     if (!session.awaiting_read || repeat) {
       session.awaiting_read = true;
       session.read_requested = now;
-      session.read_greeting = hello.sent;
+      session.read_hello_sent = hello.sent;
       std::erase_if(session_reads_, [id](const auto& item) { return item.second == id; });
       const uint64_t read = next_ticket_++;
       session_reads_[read] = id;
@@ -265,13 +266,13 @@
   Feed(now, id, &session, /*full=*/false, hello.sent);
 }
 
-void ControlServer::AnswerGreetings(Timestamp now) {
+void ControlServer::AnswerPendingHellos(Timestamp now) {
   if (!IsCurrent(now)) {
     return;
   }
   for (auto& [id, session] : sessions_) {
-    const std::optional<wire::NodeHello> hello = std::exchange(session.unanswered, std::nullopt);
-    if (hello.has_value() && now - session.last_heard < options_.greeting_patience) {
+    const std::optional<wire::NodeHello> hello = std::exchange(session.pending_hello, std::nullopt);
+    if (hello.has_value() && now - session.last_contact < options_.hello_timeout) {
       OnHello(now, id, *hello);
     }
   }
@@ -287,12 +288,12 @@
 }
 
 void ControlServer::Feed(Timestamp now, SessionId id, Session* session, bool full,
-                         uint64_t greeting) {
+                         uint64_t hello_sent) {
   const uint64_t version = state_.config().version().value;
   wire::ConfigFeed feed;
   feed.version = version;
   if (const std::optional<Timestamp> proven = raft_.ProvenAt(now); proven.has_value()) {
-    feed.echo = greeting;
+    feed.echo = hello_sent;
     feed.proof_age = now - *proven;
   }
   const auto& changes = state_.changes();
@@ -312,7 +313,7 @@
 
 void ControlServer::FeedAll(Timestamp now) {
   const uint64_t version = state_.config().version().value;
-  // Those that hold the same version get the same message.
+  // Nodes with the same version receive the same message.
   std::map<uint64_t, size_t> message_of;
   for (auto& [id, session] : sessions_) {
     if (!session.admitted || session.sent_version >= version) {
@@ -320,8 +321,8 @@
     }
     const auto [it, first] = message_of.try_emplace(session.sent_version, output_.sessions.size());
     if (first) {
-      // Vouches for nothing: a machine that catches up pushes what it learns, too.
-      Feed(now, id, &session, /*full=*/false, /*greeting=*/0);
+      // Carries no proof of freshness, since a machine that is catching up sends feeds, too.
+      Feed(now, id, &session, /*full=*/false, /*hello_sent=*/0);
     } else {
       output_.sessions[it->second].others.push_back(id);
       session.sent_version = version;
@@ -344,7 +345,7 @@
 
 void ControlServer::StartShutdown(Timestamp now) {
   shutting_down_ = true;
-  // The nodes repeat what they wait for at another machine, at once.
+  // The nodes immediately repeat their pending requests at another machine.
   for (const auto& [id, session] : sessions_) {
     output_.closed_sessions.push_back(id);
   }
--- a/src/control/control_server.h
+++ b/src/control/control_server.h
@@ -1,6 +1,6 @@
-// One control machine: a replica of the log, the state machine on it, the feed to nodes, operators'
-// submissions, and the replacement of lost replicas. No socket, clock or thread; the owner passes
-// events in and carries the output out.
+// A control machine: a replica of the log with its state machine, the feed to nodes, submissions of
+// operators, and the replacement of lost replicas. No socket, clock or thread; the owner passes
+// events in and delivers the output.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 #include "common/types.h"
 #include "consensus/raft.h"
 #include "control/control_state.h"
-#include "control/quarantine_keeper.h"
+#include "control/quarantine_manager.h"
 #include "storage/log_storage.h"
 #include "wire/messages.h"
 
@@ -22,45 +22,44 @@
 
 struct ControlOptions {
   std::string cluster;
-  /// Address that peers reach this machine at.
+  /// Address at which peers reach this machine.
   std::string address;
-  /// Addresses of the control machines to ask for admission when this one's disk is new.
+  /// Addresses of control machines to send join requests to when the disk of this machine is new.
   std::vector<std::string> seeds;
   consensus::RaftOptions raft;
   ControlStateOptions state;
-  /// Voters that the group grows to and keeps; zero: as many as there are seeds.
+  /// Number of voters that the group grows to and keeps; zero: the number of seeds.
   size_t voters = 0;
-  /// A voter that stays silent this long is replaced by a newcomer of another machine that has
-  /// caught up, if there is one; zero: only by a newcomer of its own machine.
+  /// A voter that is silent for this long is replaced by a caught-up new replica on another
+  /// machine, if there is one; zero: only by a new replica on its own machine.
   Duration replace_silent_after{};
-  /// The log is replaced by a snapshot beyond this.
+  /// Log size beyond which it is compacted into a snapshot.
   size_t snapshot_log_bytes = 4 << 20;
-  /// A submission without a quorum's answer by then is answered kNoQuorum.
+  /// A submission that no quorum has decided within this time is answered kNoQuorum.
   Duration submission_timeout = Seconds(3);
-  /// A command that was passed to the leader and not answered for this long is passed on again, to
-  /// whoever leads by then: applying it twice does no harm.
-  Duration forward_patience = Milliseconds(300);
+  /// A command that was forwarded to the leader and not answered for this long is forwarded again,
+  /// to the current leader. Applying it twice does no harm.
+  Duration forward_timeout = Milliseconds(300);
   Duration join_interval = Milliseconds(300);
-  /// Sessions that greeted nothing for this long count as gone.
+  /// Sessions without a hello for this long are removed.
   Duration session_timeout = Seconds(5);
-  /// A starting node that greets again gets its first state again only after this.
-  Duration full_feed_patience = Seconds(2);
-  /// A greeting that came before there was a quorum is answered no later than this; its sender has
-  /// turned to another machine by then.
-  Duration greeting_patience = Milliseconds(300);
-  /// Off only in simulations that show what the check is for.
+  /// Minimum time before a starting node that repeats its hello is sent the full state again.
+  Duration full_feed_interval = Seconds(2);
+  /// A hello that arrived without a quorum is answered only within this time; later its sender has
+  /// switched to another machine.
+  Duration hello_timeout = Milliseconds(300);
+  /// Off only in simulations that show what the check prevents.
   bool catch_up_before_vote = true;
-  /// A machine that does not lead passes requests to join on to the leader; off only in
-  /// simulations.
+  /// A machine that is not the leader relays join requests to the leader; off only in simulations.
   bool relay_joins = true;
   QuarantineOptions quarantine;
-  /// Off only in simulations that show what it is for.
+  /// Off only in simulations that show what this prevents.
   bool stop_fatal_requests = true;
 };
 
-/// Names one connection of a node to this machine.
+/// Identifies a connection of a node to this machine.
 using SessionId = uint64_t;
-/// Names one operator's call that waits for its answer.
+/// Identifies a pending call of an operator.
 using TicketId = uint64_t;
 
 struct PeerMessage {
@@ -70,7 +69,7 @@
 struct SessionMessage {
   SessionId session;
   wire::Envelope envelope;
-  /// Further connections that get the same: it is encoded once for all of them.
+  /// Further connections that receive the same message, which is encoded only once.
   std::vector<SessionId> others = {};
 };
 struct OperatorReply {
@@ -87,11 +86,11 @@
   std::vector<OperatorReply> operators;
   /// Connections of nodes to close.
   std::vector<SessionId> closed_sessions;
-  /// What this leader has proposed to stop or release, for the log.
+  /// Quarantine changes proposed by this machine, for the log.
   std::vector<QuarantineProposal> quarantine;
 };
 
-/// What an operator is told about one replica.
+/// Status of one replica, as reported to operators.
 struct ReplicaStatus {
   wire::Member member;
   uint64_t match_index = 0;
@@ -109,35 +108,35 @@
   void OnNodeMessage(Timestamp now, SessionId session, const wire::Envelope& envelope);
   void OnSessionClosed(SessionId session);
 
-  /// An operator's change. The answer comes as an OperatorReply with this ticket, always.
-  /// @param wall_ms wall clock, for the ledger's retention only.
+  /// Submits a change of an operator. It is always answered by an OperatorReply with this ticket.
   void Submit(Timestamp now, TicketId ticket, const config::Change& change);
-  /// A linearizable read of the whole configuration; answered like Submit().
+  /// Starts a linearizable read of the whole configuration; answered like Submit().
   void ReadConfig(Timestamp now, TicketId ticket);
-  /// A linearizable read of the document of routes alone.
+  /// Starts a linearizable read of the route document alone.
   void ReadDocument(Timestamp now, TicketId ticket);
-  /// Whether this machine was proved, by word of a majority, to miss nothing a moment ago.
+  /// Returns whether a majority recently confirmed that this machine is up to date.
   bool IsCurrent(Timestamp now) const;
 
-  /// Answers whatever waits with kNoQuorum; for a replica whose disk failed.
+  /// Answers all pending calls with kNoQuorum; for a replica whose disk failed.
   void AbandonPending();
-  /// Hands leadership over, sends the nodes away and refuses new submissions; see Drained().
+  /// Transfers leadership, disconnects the nodes and rejects new submissions; see Drained().
   void StartShutdown(Timestamp now);
-  /// True when nothing that was admitted waits for an answer any more.
+  /// Returns true when no admitted call is pending.
   bool Drained() const;
 
   ControlOutput TakeOutput();
 
-  /// @param wall_ms milliseconds since the epoch; kept for ledger claims proposed later.
+  /// @param wall_ms milliseconds since the epoch; recorded in later ledger operations, for the
+  /// retention of entries only.
   void SetWallClock(int64_t wall_ms) { wall_ms_ = wall_ms; }
 
-  /// Status of this machine and, on the leader, of the group; answered like Submit(), and within
-  /// kStatusPatience. "fully_redundant" is true only if every voter of the full set was heard after
-  /// the question and holds everything committed, so that any one of them may be lost.
+  /// Reads the status of this machine and, on the leader, of the group; answered like Submit(), and
+  /// within kStatusTimeout. "fully_redundant" is true only if every voter of the full set was heard
+  /// from after the call and holds all committed entries, so that any one of them may be lost.
   void ReadStatus(Timestamp now, TicketId ticket);
   std::vector<ReplicaStatus> Replicas(Timestamp now) const;
 
-  /// Further machines to ask for admission and to look for unknown members at.
+  /// Adds machines to send join requests to and to search for unknown members.
   void LearnSeeds(const std::vector<std::string>& addresses);
 
   const ControlState& state() const { return state_; }
@@ -152,17 +151,18 @@
     uint64_t incarnation = 0;
     uint64_t reported_version = 0;
     uint64_t sent_version = 0;
-    Timestamp last_heard{};
-    /// A node that starts is fed only after a quorum's read: this machine may be behind.
+    Timestamp last_contact{};
+    /// A starting node is sent the configuration only after a quorum read, since this machine may
+    /// be behind.
     bool admitted = false;
     Timestamp full_sent{};
-    /// Waiting for that read.
+    /// The quorum read is pending.
     bool awaiting_read = false;
     Timestamp read_requested{};
-    /// `sent` of the greeting that asked for it.
-    uint64_t read_greeting = 0;
-    /// A greeting that came while this machine was in touch with no quorum.
-    std::optional<wire::NodeHello> unanswered;
+    /// `sent` of the hello that started the read.
+    uint64_t read_hello_sent = 0;
+    /// A hello that arrived while this machine had no quorum.
+    std::optional<wire::NodeHello> pending_hello;
   };
   /// Where the result of a proposed command goes.
   struct Origin {
@@ -173,18 +173,18 @@
     uint64_t request = 0;
     Timestamp deadline{};
   };
-  /// A command that this leader proposed; the term tells whether it is still ours.
+  /// A command proposed by this leader; valid only while the term is unchanged.
   struct Proposal {
     uint64_t term = 0;
     Origin origin;
-    /// Kept for operators' changes, to be passed on if this machine is deposed.
+    /// Set for changes of operators, which are forwarded if this machine is deposed.
     std::string command;
   };
-  /// A command that another machine, the leader, has to propose.
+  /// A command that was forwarded to the leader, which is another machine.
   struct ForwardedCommand {
     Origin origin;
     std::string command;
-    /// Whom it was passed to; zero: there was no leader.
+    /// Leader that it was sent to; zero: there was none.
     MemberId leader = 0;
     Timestamp sent{};
   };
@@ -195,58 +195,60 @@
     Timestamp asked{};
   };
 
-  // Commands on their way.
+  // Pending commands.
   void Route(Timestamp now, const std::string& command, Origin origin);
   void ProposeHere(Timestamp now, const std::string& command, Origin origin);
   void Answer(const Origin& origin, const std::string& result);
-  /// The command's fate is unknown here.
+  /// Answers that the outcome of the command is unknown on this machine.
   void AnswerNoQuorum(const Origin& origin);
   void ExpirePending(Timestamp now);
-  /// The entry of a proposal may have been cut off: what repeats is passed on to whoever leads now.
-  void GiveUp(Timestamp now, Proposal proposal);
-  /// Gives up what this machine proposed in terms in which it leads no more.
-  void GiveUpDeposed(Timestamp now);
-  /// Passes commands on again that the leader of that time does not answer.
-  void ForwardAgain(Timestamp now);
-  /// Asks again for reads that the leader of that time does not answer.
-  void ReadAgain(Timestamp now);
+  /// Handles a proposal whose entry may have been truncated: repeatable commands are forwarded to
+  /// the current leader.
+  void AbandonProposal(Timestamp now, Proposal proposal);
+  /// Abandons the proposals of terms in which this machine no longer leads.
+  void AbandonDeposed(Timestamp now);
+  /// Forwards commands again that the leader has not answered in time.
+  void RetryForwarded(Timestamp now);
+  /// Repeats reads that the leader has not answered in time.
+  void RetryReads(Timestamp now);
   void SendForwarded(Timestamp now, uint64_t ticket, ForwardedCommand* forwarded);
   void OnForwarded(Timestamp now, const wire::Forwarded& forwarded);
   void OnForwardedReply(const wire::ForwardedReply& reply);
 
   // The feed.
   void OnHello(Timestamp now, SessionId id, const wire::NodeHello& hello);
-  /// Answers the greetings that waited for a quorum.
-  void AnswerGreetings(Timestamp now);
+  /// Answers the hellos that waited for a quorum.
+  void AnswerPendingHellos(Timestamp now);
   void OnLedgerRequest(Timestamp now, SessionId id, const wire::LedgerRequest& request);
-  /// @param greeting `sent` of the greeting that this answers, or 0.
-  void Feed(Timestamp now, SessionId id, Session* session, bool full, uint64_t greeting);
+  /// @param hello_sent `sent` of the hello that this answers, or 0.
+  void Feed(Timestamp now, SessionId id, Session* session, bool full, uint64_t hello_sent);
   void FeedAll(Timestamp now);
-  /// The whole configuration as nodes get it that start; made once for all of them.
+  /// Returns the whole configuration as sent to starting nodes; packed once for all of them.
   const std::string& PackedConfig();
   void StartConfigRead(Timestamp now, TicketId ticket, bool document_only);
   OperatorReply ReadReply(const PendingConfigRead& read) const;
 
-  // Requests that end the leafs that run them.
-  /// Notes what a gateway or node saw, and passes it on to the others if nobody else does.
+  // Requests that crash the leafs that run them.
+  /// Records a report of a gateway or node, and relays it to the other machines unless it was
+  /// relayed already.
   void OnRunReport(Timestamp now, wire::RunReport report);
-  /// The same of a gateway or node, which tells again until it hears that the report was taken.
-  void OnRunReportOf(Timestamp now, SessionId session, const wire::RunReport& report);
-  /// Proposes to stop requests, or to let them go again, and warns of suspects.
-  void KeepQuarantine(Timestamp now);
-  void WarnOfSuspects();
+  /// Records a report received from a gateway or node, which repeats it until it is acknowledged.
+  void OnRunReportFromNode(Timestamp now, SessionId session, const wire::RunReport& report);
+  /// Proposes to stop or release requests, and notifies the nodes of suspects.
+  void UpdateQuarantine(Timestamp now);
+  void NotifySuspects();
 
   // Replicas.
   void OnJoin(Timestamp now, const wire::JoinRequest& join);
-  /// Passes a request on to the leader: the newcomer knows a few machines only.
+  /// Relays a join request to the leader, since the new replica knows only a few machines.
   void RelayJoin(const wire::JoinRequest& join);
-  /// Tells the newcomer where the leader is reached; see wire::JoinReply.
+  /// Sends the address of the leader to the new replica; see wire::JoinReply.
   void ReplyToJoin(const wire::JoinRequest& join);
   void SendJoin(Timestamp now);
   void ReplaceLostReplicas(Timestamp now);
   size_t WantedVoters() const;
-  bool SilentForLong(const wire::Member& member, Timestamp now) const;
-  void NoteHeard(Timestamp now);
+  bool IsSilentTooLong(const wire::Member& member, Timestamp now) const;
+  void UpdateLastContact(Timestamp now);
   bool CaughtUp(MemberId id, Timestamp now) const;
   bool FullyRedundantSince(Timestamp asked, Timestamp now) const;
   std::string StatusJson(Timestamp now, bool fully_redundant) const;
@@ -264,7 +266,7 @@
   wire::Identity identity_;
   storage::LogStorage* storage_;
   ControlState state_;
-  QuarantineKeeper quarantine_;
+  QuarantineManager quarantine_;
   consensus::Raft raft_;
   uint64_t applied_index_ = 0;
   std::string packed_config_;
@@ -274,7 +276,7 @@
   std::map<SessionId, Session> sessions_;
   /// By log index.
   std::map<uint64_t, Proposal> proposals_;
-  /// Commands passed to the leader, by ticket.
+  /// Commands forwarded to the leader, by ticket.
   std::map<uint64_t, ForwardedCommand> forwarded_;
   std::map<uint64_t, SessionId> session_reads_;
   std::map<uint64_t, PendingConfigRead> config_reads_;
@@ -285,13 +287,13 @@
   std::vector<StatusRead> status_reads_;
   /// Reads whose index is known but not applied yet: index to read tickets.
   std::multimap<uint64_t, uint64_t> reads_at_index_;
-  /// Starts at a random number: a late reply to an earlier life must match nothing here.
+  /// Starts at a random number, so that late replies to an earlier incarnation match nothing.
   uint64_t next_ticket_;
-  /// Known addresses of machines that asked to join, and of the leader that answered.
+  /// Known addresses of machines that sent join requests, and of the leader that replied.
   std::map<MemberId, std::string> join_addresses_;
-  /// Leader: when each member was last known to answer; starts anew with each term.
-  std::map<MemberId, Timestamp> member_heard_;
-  uint64_t member_heard_term_ = 0;
+  /// On the leader: when each member was last known to answer; reset in each term.
+  std::map<MemberId, Timestamp> member_last_contact_;
+  uint64_t member_last_contact_term_ = 0;
   Timestamp next_join_{};
   bool shutting_down_ = false;
   ControlOutput output_;
--- a/src/control/control_state.cc
+++ b/src/control/control_state.cc
@@ -59,7 +59,7 @@
   config::ChangeResult result = Decide(change);
   submissions_[change.submission_id] = {fingerprint, result};
   submission_order_.push_back(change.submission_id);
-  if (submission_order_.size() > kRememberedSubmissions) {
+  if (submission_order_.size() > kMaxRetainedSubmissions) {
     submissions_.erase(submission_order_.front());
     submission_order_.pop_front();
   }
@@ -80,16 +80,16 @@
             config_.version().value, revision};
   }
   config_.Apply(change);
-  Keep({config_.version().value, wire::Pack(Json(change).dump())});
+  RetainChange({config_.version().value, wire::Pack(Json(change).dump())});
   return {0, "accepted", config_.version().value, config_.RevisionOf(change)};
 }
 
-void ControlState::Keep(wire::ConfigChange change) {
-  kept_bytes_ += change.command.size();
+void ControlState::RetainChange(wire::ConfigChange change) {
+  retained_bytes_ += change.command.size();
   changes_.push_back(std::move(change));
   while (changes_.size() > 1 &&
-         (changes_.size() > kKeptChanges || kept_bytes_ > kKeptChangeBytes)) {
-    kept_bytes_ -= changes_.front().command.size();
+         (changes_.size() > kMaxRetainedChanges || retained_bytes_ > kMaxRetainedChangeBytes)) {
+    retained_bytes_ -= changes_.front().command.size();
     changes_.pop_front();
   }
 }
--- a/src/control/control_state.h
+++ b/src/control/control_state.h
@@ -1,4 +1,4 @@
-// Everything the control log decides: the configuration, results of submissions, the ledger.
+// The replicated state: the configuration, the results of submissions, and the ledger.
 #pragma once
 
 #include <deque>
@@ -12,27 +12,28 @@
 
 namespace pumicedyke::control {
 
-/// Submissions whose results are remembered for resends, newest ones.
-constexpr size_t kRememberedSubmissions = 20000;
-/// Accepted changes kept for nodes that are a little behind; others get the whole state.
-constexpr size_t kKeptChanges = 2000;
-constexpr size_t kKeptChangeBytes = 4 << 20;
+/// Number of latest submissions whose results are retained for resends.
+constexpr size_t kMaxRetainedSubmissions = 20000;
+/// Limits of the accepted changes retained for nodes that are slightly behind; other nodes receive
+/// the full state.
+constexpr size_t kMaxRetainedChanges = 2000;
+constexpr size_t kMaxRetainedChangeBytes = 4 << 20;
 
 /// A submission that was decided.
 struct Submission {
-  /// Hash of the change, so that an id used for two changes is noticed.
+  /// Hash of the change, to detect a submission ID that is used for two changes.
   uint64_t fingerprint = 0;
   config::ChangeResult result;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Submission, fingerprint, result)
 
 struct ControlStateOptions {
-  /// Off only in simulations that show what the checks are for.
+  /// Off only in simulations that show what the checks prevent.
   bool remember_submissions = true;
   bool compare_and_set = true;
 };
 
-/// A command of the log is either a change of the configuration or a ledger operation.
+/// Encodes a command of the log: a configuration change or a ledger operation.
 std::string EncodeCommand(const config::Change& change);
 std::string EncodeCommand(const ledger::Operation& operation);
 
@@ -40,12 +41,12 @@
  public:
   explicit ControlState(ControlStateOptions options) : options_(options) {}
 
-  /// Applies one committed command. @return its result as JSON, the same on every replica.
+  /// Applies a committed command. @return its result as JSON, the same on every replica.
   std::string Apply(const std::string& command);
 
   const config::ConfigState& config() const { return config_; }
   const ledger::Ledger& ledger() const { return ledger_; }
-  /// Accepted changes of recent versions, oldest first, without gaps.
+  /// Returns the accepted changes of recent versions, oldest first, without gaps.
   const std::deque<wire::ConfigChange>& changes() const { return changes_; }
 
   std::string Serialize() const;
@@ -54,7 +55,7 @@
  private:
   config::ChangeResult ApplyChange(const config::Change& change);
   config::ChangeResult Decide(const config::Change& change);
-  void Keep(wire::ConfigChange change);
+  void RetainChange(wire::ConfigChange change);
 
   ControlStateOptions options_;
   config::ConfigState config_;
@@ -62,7 +63,7 @@
   std::map<std::string, Submission> submissions_;
   std::deque<std::string> submission_order_;
   std::deque<wire::ConfigChange> changes_;
-  size_t kept_bytes_ = 0;
+  size_t retained_bytes_ = 0;
 };
 
 }  // namespace pumicedyke::control
--- a/src/control/dialect.h
+++ b/src/control/dialect.h
@@ -1,5 +1,5 @@
-// Pure interface between a control machine and one protocol that operators, leafs and clients speak
-// to it: values in, values out. Implementations hold no state and decide nothing.
+// Pure interface between a control machine and one protocol that operators, leafs and clients use:
+// values in, values out. Implementations are stateless and make no decisions.
 #pragma once
 
 #include <string>
@@ -15,27 +15,27 @@
 
 namespace pumicedyke::control {
 
-/// An operator puts a whole document of routes.
+/// An operator replaces the route document.
 struct PutDocument {
   config::RouteDocument document;
 };
-/// An operator reads the newest document.
+/// An operator reads the latest document.
 struct GetDocument {};
 /// A leaf's heartbeat.
 struct ReportLeaf {
   registry::LeafReport report;
 };
-/// A leaf leaves for good.
+/// A leaf is retired permanently.
 struct RetireLeaf {
   std::string leaf;
-  /// When the life that leaves began; zero: it did not say.
+  /// Start time of the retired incarnation; zero: not given.
   uint64_t born_ms = 0;
 };
-/// A client asks where to go.
+/// A client requests the addresses of gateways.
 struct FindGateways {
   directory::ClientPlace client;
 };
-/// An operator orders that nothing more is sent to a zone's leafs, or takes that back.
+/// An operator evacuates a zone, so that nothing more is sent to its leafs, or restores it.
 struct OrderZone {
   std::string zone;
   bool evacuated = false;
@@ -47,7 +47,7 @@
  public:
   virtual ~Dialect() = default;
 
-  /// @return kUnknownPath, kMalformedRequest or kInvalidConfig, naming what is wrong.
+  /// @return kUnknownPath, kMalformedRequest or kInvalidConfig with a message that names the fault.
   virtual absl::StatusOr<Command> ReadCommand(const http::HttpRequest& request) const = 0;
   virtual http::HttpResponse WriteAccepted() const = 0;
   virtual http::HttpResponse WriteDocument(const config::RouteDocument& document) const = 0;
--- a/src/control/discovery_server.cc
+++ b/src/control/discovery_server.cc
@@ -30,14 +30,14 @@
                                  const wire::GatewayPresence& presence) {
   directory_.OnPresence(now, presence);
   Session& session = sessions_[id];
-  const bool greeted = !session.node.empty();
+  const bool known = !session.node.empty();
   session.node = presence.node;
   session.incarnation = presence.incarnation;
-  // A gateway that missed something, or has lost what it had, says that it has nothing.
-  if (!greeted || presence.leaf_version == 0) {
+  // A gateway that has missed changes or lost its state reports version zero.
+  if (!known || presence.leaf_version == 0) {
     session.sent_version = presence.leaf_version;
   }
-  // Every greeting is answered, if only to show that this machine is there.
+  // Every presence message is answered, which also shows that this machine is reachable.
   Feed(now, id, &session);
   if (presence.wants_peers && presence.peers_version != directory_.version()) {
     messages_.push_back(
@@ -74,10 +74,10 @@
   if (options_.feed_interval == Duration(0)) {
     return true;
   }
-  const double earned = static_cast<double>((now - fed_).count()) /
+  const double earned = static_cast<double>((now - credit_updated_).count()) /
                         static_cast<double>(options_.feed_interval.count());
   feed_credit_ = std::min(options_.feed_burst, feed_credit_ + earned);
-  fed_ = now;
+  credit_updated_ = now;
   if (feed_credit_ < 1) {
     return false;
   }
@@ -86,26 +86,26 @@
 }
 
 void DiscoveryServer::FeedAll(Timestamp now) {
-  const bool news = std::any_of(sessions_.begin(), sessions_.end(), [this](const auto& item) {
-    return item.second.sent_version < registry_.version();
-  });
-  if (!news || !MayFeed(now)) {
+  const bool has_changes = std::any_of(
+      sessions_.begin(), sessions_.end(),
+      [this](const auto& item) { return item.second.sent_version < registry_.version(); });
+  if (!has_changes || !MayFeed(now)) {
     return;
   }
-  // Those that hold the same version get the same message.
+  // Gateways with the same version receive the same message.
   std::map<uint64_t, size_t> message_of;
   for (auto& [id, session] : sessions_) {
     if (session.sent_version >= registry_.version()) {
       continue;
     }
-    const bool usual = session.sent_control == control_addresses_;
+    const bool same_control = session.sent_control == control_addresses_;
     const auto found = message_of.find(session.sent_version);
-    if (usual && found != message_of.end()) {
+    if (same_control && found != message_of.end()) {
       messages_[found->second].others.push_back(id);
       session.sent_version = registry_.version();
       continue;
     }
-    if (usual) {
+    if (same_control) {
       message_of[session.sent_version] = messages_.size();
     }
     Feed(now, id, &session);
--- a/src/control/discovery_server.h
+++ b/src/control/discovery_server.h
@@ -1,6 +1,6 @@
-// A control machine's part in finding things: leafs report to it, gateways greet it and are told of
-// leafs, clients are told of gateways. Beside ControlServer, which holds what must survive; nothing
-// here does. No socket, clock or thread.
+// Discovery on a control machine: leafs report to it, gateways receive changes of leafs from it,
+// and clients receive addresses of gateways. Separate from ControlServer, which holds the durable
+// state; nothing here is durable. No socket, clock or thread.
 #pragma once
 
 #include <map>
@@ -15,12 +15,13 @@
 
 struct DiscoveryOptions {
   std::string cluster;
-  /// Where this machine is.
+  /// Zone of this machine.
   std::string zone;
   registry::RegistryOptions registry;
   directory::DirectoryOptions directory;
-  /// Gateways hear of changes of leafs this often at most, but for a few at once after a pause;
-  /// what comes between goes out in one message. Zero: of each change by itself.
+  /// Minimum interval between messages to gateways about changed leafs. After a pause a burst of
+  /// `feed_burst` messages is allowed; changes in between are combined into one message. Zero: each
+  /// change is sent separately.
   Duration feed_interval{};
   double feed_burst = 5;
 };
@@ -30,25 +31,25 @@
   explicit DiscoveryServer(const DiscoveryOptions& options)
       : options_(options), registry_(options.registry), directory_(options.directory) {}
 
-  /// @param current whether this machine is in touch with a quorum. While it is not, leafs are told
-  /// to report elsewhere, and their silence means nothing.
+  /// @param current whether this machine has a quorum. Without one, leafs are told to report to
+  /// another machine, and their silence is ignored.
   void Tick(Timestamp now, bool current);
 
-  /// A heartbeat of a leaf. Draining must have been committed before this is called with it, so
-  /// that whoever hears of it here may rely on it.
+  /// Handles a heartbeat of a leaf. Draining must have been committed before, so that every
+  /// receiver of the change may rely on it.
   /// @param elsewhere as for LeafRegistry::OnReport().
   registry::ReportVerdict OnLeafReport(Timestamp now, const registry::LeafReport& report,
                                        const std::string* elsewhere = nullptr);
-  /// A leaf's departure was committed.
+  /// Handles the committed retirement of a leaf.
   void OnLeafRetired(Timestamp now, const std::string& leaf, uint64_t born_ms = 0);
 
   void OnPresence(Timestamp now, SessionId session, const wire::GatewayPresence& presence);
   void OnSessionClosed(SessionId session);
 
-  /// Frame addresses of all control machines, for gateways that know only some.
+  /// Sets the frame addresses of all control machines, for gateways that know only some of them.
   void SetControlAddresses(std::vector<std::string> addresses);
 
-  /// Where a client may go, best first. Empty: no gateway is known.
+  /// Returns gateway addresses for a client, best first. Empty: no gateway is known.
   std::vector<std::string> GatewaysFor(Timestamp now, const directory::ClientPlace& client) const {
     return directory_.AddressesFor(now, client);
   }
@@ -63,24 +64,24 @@
     std::string node;
     uint64_t incarnation = 0;
     uint64_t sent_version = 0;
-    /// The control machines that the gateway was told of.
+    /// Addresses of control machines last sent to the gateway.
     std::vector<std::string> sent_control;
   };
 
   void Feed(Timestamp now, SessionId id, Session* session);
   void FeedAll(Timestamp now);
-  /// Whether the interval lets one more message to all go out; counts it if so.
+  /// Returns whether the rate limit allows another message to all gateways; charges it if so.
   bool MayFeed(Timestamp now);
 
   DiscoveryOptions options_;
   registry::LeafRegistry registry_;
   directory::GatewayDirectory directory_;
   std::map<SessionId, Session> sessions_;
-  /// In touch with a quorum at the last Tick().
+  /// Whether there was a quorum at the last Tick().
   bool current_ = false;
-  /// Messages that may go out now, as of `fed_`.
+  /// Messages allowed by the rate limit, as of `credit_updated_`.
   double feed_credit_ = 0;
-  Timestamp fed_{};
+  Timestamp credit_updated_{};
   std::vector<std::string> control_addresses_;
   std::vector<SessionMessage> messages_;
 };
--- a/src/control/leaf_committer.cc
+++ b/src/control/leaf_committer.cc
@@ -9,27 +9,28 @@
                                                      const config::ConfigState& committed,
                                                      const std::set<MemberId>& members,
                                                      bool leads) {
-  const Duration wait = pending_ ? options_.answer_patience : options_.interval;
+  const Duration wait = pending_ ? options_.answer_timeout : options_.interval;
   if (now - proposed_ < wait) {
     return std::nullopt;
   }
-  std::set<std::string> heard = registry->TakeHeard();
+  std::set<std::string> reporting = registry->TakeHeard();
   removed_.merge(registry->TakeRemoved());
-  if (!looked_at_all_) {
-    looked_at_all_ = true;
-    registry->ForEach(
-        [&](const wire::LeafRecord& record, Timestamp /*heard*/) { heard.insert(record.leaf); });
+  if (!checked_registry_) {
+    checked_registry_ = true;
+    registry->ForEach([&](const wire::LeafRecord& record, Timestamp /*last_contact*/) {
+      reporting.insert(record.leaf);
+    });
   }
-  std::optional<config::Change> change = ProposeReports(*registry, committed, heard);
-  if (!change.has_value() && now - started_ >= options_.return_patience) {
+  std::optional<config::Change> change = ProposeReports(*registry, committed, reporting);
+  if (!change.has_value() && now - started_ >= options_.rejoin_timeout) {
     change = ProposeForgetting(*registry, committed, std::exchange(removed_, {}));
   }
-  const bool others = members != surveyed_members_ || leads != surveyed_as_leader_;
-  if (!change.has_value() && (others || now - surveyed_ >= options_.survey_interval)) {
-    surveyed_ = now;
-    surveyed_members_ = members;
-    surveyed_as_leader_ = leads;
-    change = Survey(now, *registry, committed, members, leads);
+  const bool group_changed = members != checked_members_ || leads != checked_as_leader_;
+  if (!change.has_value() && (group_changed || now - checked_ >= options_.check_interval)) {
+    checked_ = now;
+    checked_members_ = members;
+    checked_as_leader_ = leads;
+    change = CheckAllCommitted(now, *registry, committed, members, leads);
   }
   if (change.has_value()) {
     pending_ = true;
@@ -38,12 +39,12 @@
   return change;
 }
 
-std::optional<config::Change> LeafCommitter::ProposeReports(const registry::LeafRegistry& registry,
-                                                            const config::ConfigState& committed,
-                                                            const std::set<std::string>& heard) {
+std::optional<config::Change> LeafCommitter::ProposeReports(
+    const registry::LeafRegistry& registry, const config::ConfigState& committed,
+    const std::set<std::string>& reporting) {
   config::Change change;
   change.kind = config::ChangeKind::kReportLeafs;
-  for (const std::string& id : heard) {
+  for (const std::string& id : reporting) {
     const wire::LeafRecord* record = registry.Find(id);
     if (record == nullptr || record->draining || committed.IsRetired(id, record->born_ms)) {
       continue;
@@ -74,22 +75,21 @@
   return change.reported.empty() ? std::nullopt : std::optional(std::move(change));
 }
 
-std::optional<config::Change> LeafCommitter::Survey(Timestamp now,
-                                                    const registry::LeafRegistry& registry,
-                                                    const config::ConfigState& committed,
-                                                    const std::set<MemberId>& members, bool leads) {
+std::optional<config::Change> LeafCommitter::CheckAllCommitted(
+    Timestamp now, const registry::LeafRegistry& registry, const config::ConfigState& committed,
+    const std::set<MemberId>& members, bool leads) {
   config::Change change;
   change.kind = config::ChangeKind::kForgetLeafs;
   for (const auto& [id, leaf] : committed.reported()) {
     const bool own = leaf.reporter == self_;
-    const bool own_gone =
-        own && now - started_ >= options_.return_patience && registry.Find(id) == nullptr;
-    bool orphan_gone = false;
+    const bool own_removed =
+        own && now - started_ >= options_.rejoin_timeout && registry.Find(id) == nullptr;
+    bool orphan_removed = false;
     if (!own && leads && !members.contains(leaf.reporter)) {
-      const auto [since, fresh] = orphaned_.try_emplace(leaf.reporter, now);
-      orphan_gone = now - since->second >= options_.return_patience;
+      const auto [since, inserted] = orphaned_.try_emplace(leaf.reporter, now);
+      orphan_removed = now - since->second >= options_.rejoin_timeout;
     }
-    if (own_gone || orphan_gone) {
+    if (own_removed || orphan_removed) {
       change.reported.push_back(leaf);
     }
   }
--- a/src/control/leaf_committer.h
+++ b/src/control/leaf_committer.h
@@ -1,7 +1,7 @@
 // Decides which leafs a control machine proposes to commit as reporting to it, and which to forget.
-// One proposal is under way at a time, so leafs that come in a crowd share one. Work grows with the
-// heartbeats, not with the leafs that are committed: ten times a second, looking at all of them
-// took half of a control machine's processor time at 700 leafs. No clock.
+// Only one proposal is pending at a time, so leafs that arrive together share one. The work grows
+// with the heartbeats, not with the committed leafs: checking all of them ten times a second took
+// half of the processor time of a control machine at 700 leafs. No clock.
 #pragma once
 
 #include <map>
@@ -16,61 +16,62 @@
 namespace pumicedyke::control {
 
 struct LeafCommitterOptions {
-  /// Time between two proposals.
+  /// Minimum time between two proposals.
   Duration interval = Milliseconds(100);
-  /// A proposal that was not answered is made again after this.
-  Duration answer_patience = Seconds(2);
-  /// A machine that has just started leaves the leafs that reported to its earlier life this long
-  /// to report again. The same holds for leafs whose machine is no member any more.
-  Duration return_patience = Seconds(10);
-  /// All that is committed is looked through this often, for leafs whose machine has gone.
-  Duration survey_interval = Seconds(1);
+  /// A proposal that was not answered within this time is repeated.
+  Duration answer_timeout = Seconds(2);
+  /// After a restart, leafs that reported to the previous incarnation of the machine have this long
+  /// to report again. The same holds for leafs whose machine is no longer a member.
+  Duration rejoin_timeout = Seconds(10);
+  /// Interval for checking all committed leafs for those whose machine was removed.
+  Duration check_interval = Seconds(1);
 };
 
 class LeafCommitter {
  public:
-  /// @param self the reporter that this machine commits leafs under.
+  /// @param self the reporter ID under which this machine commits leafs.
   LeafCommitter(LeafCommitterOptions options, MemberId self, Timestamp now)
       : options_(options), self_(self), started_(now) {}
 
-  /// @param registry its news since the last call are taken.
-  /// @param members ids of the control machines; @param leads whether this machine leads.
+  /// @param registry its changes since the last call are consumed.
+  /// @param members IDs of the control machines; @param leads whether this machine leads.
   /// @return a change to propose now, if any.
   std::optional<config::Change> Propose(Timestamp now, registry::LeafRegistry* registry,
                                         const config::ConfigState& committed,
                                         const std::set<MemberId>& members, bool leads);
-  /// The last proposal was decided, or its fate is unknown.
+  /// Notifies that the last proposal was decided, or that its outcome is unknown.
   void OnAnswer() { pending_ = false; }
 
  private:
   std::optional<config::Change> ProposeReports(const registry::LeafRegistry& registry,
                                                const config::ConfigState& committed,
-                                               const std::set<std::string>& heard);
-  /// Own leafs among `leafs` that do not report any more.
+                                               const std::set<std::string>& reporting);
+  /// Proposes to forget those of `leafs` that were committed by this machine and no longer report.
   std::optional<config::Change> ProposeForgetting(const registry::LeafRegistry& registry,
                                                   const config::ConfigState& committed,
                                                   const std::set<std::string>& leafs) const;
-  /// Looks through all that is committed.
-  std::optional<config::Change> Survey(Timestamp now, const registry::LeafRegistry& registry,
-                                       const config::ConfigState& committed,
-                                       const std::set<MemberId>& members, bool leads);
+  /// Checks all committed leafs.
+  std::optional<config::Change> CheckAllCommitted(Timestamp now,
+                                                  const registry::LeafRegistry& registry,
+                                                  const config::ConfigState& committed,
+                                                  const std::set<MemberId>& members, bool leads);
 
   LeafCommitterOptions options_;
   MemberId self_;
   Timestamp started_;
-  /// The registry's leafs have been looked at since this machine started. From then on a leaf that
-  /// is not committed as its own is proposed once after each heartbeat: one that reports elsewhere
-  /// by now would be taken to and fro between two machines.
-  bool looked_at_all_ = false;
-  /// Left the registry, and have not been proposed to be forgotten yet.
+  /// Whether the leafs of the registry were checked since the start of this machine. After that, a
+  /// leaf committed by another machine is proposed only once after each heartbeat; otherwise two
+  /// machines would keep taking a leaf that has moved from each other.
+  bool checked_registry_ = false;
+  /// Leafs that were removed from the registry and not proposed to be forgotten yet.
   std::set<std::string> removed_;
-  /// When all that is committed was looked through, and for whom.
-  Timestamp surveyed_{};
-  std::set<MemberId> surveyed_members_;
-  bool surveyed_as_leader_ = false;
+  /// Time, members and role of the last check of all committed leafs.
+  Timestamp checked_{};
+  std::set<MemberId> checked_members_;
+  bool checked_as_leader_ = false;
   bool pending_ = false;
   Timestamp proposed_{};
-  /// Reporters that are no members, and since when this machine has seen that.
+  /// Reporters that are not members, and when this machine first noticed.
   std::map<MemberId, Timestamp> orphaned_;
 };
 
--- a/src/control/quarantine_keeper.cc
+++ b/src/control/quarantine_manager.cc
@@ -1,4 +1,4 @@
-#include "control/quarantine_keeper.h"
+#include "control/quarantine_manager.h"
 
 #include <algorithm>
 #include <utility>
@@ -6,19 +6,19 @@
 
 namespace pumicedyke::control {
 
-std::optional<QuarantineProposal> QuarantineKeeper::Propose(Timestamp now,
-                                                            const config::ConfigState& committed,
-                                                            bool leads) {
-  const bool waits = pending_ && now - proposed_ < options_.answer_patience;
+std::optional<QuarantineProposal> QuarantineManager::Propose(Timestamp now,
+                                                             const config::ConfigState& committed,
+                                                             bool leads) {
+  const bool awaiting_answer = pending_ && now - proposed_ < options_.answer_timeout;
   const Duration interval = std::max(
       options_.interval, options_.interval_per_leaf * static_cast<int64_t>(evidence_.leafs()));
-  if (waits || now - judged_ < interval) {
+  if (awaiting_answer || now - evaluated_ < interval) {
     return std::nullopt;
   }
-  judged_ = now;
+  evaluated_ = now;
   evidence_.Tick(now);
-  NoteStopped(now, committed);
-  NoteSuspects();
+  UpdateStopped(now, committed);
+  UpdateSuspects();
   std::optional<QuarantineProposal> proposal = ProposeRelease(now, committed, leads);
   if (!proposal.has_value()) {
     proposal = ProposeStop(now, committed, leads);
@@ -30,7 +30,7 @@
   return proposal;
 }
 
-void QuarantineKeeper::NoteStopped(Timestamp now, const config::ConfigState& committed) {
+void QuarantineManager::UpdateStopped(Timestamp now, const config::ConfigState& committed) {
   std::erase_if(stopped_since_, [&](const auto& item) {
     const bool released = !committed.IsQuarantined(item.first);
     if (released) {
@@ -45,31 +45,32 @@
   }
 }
 
-void QuarantineKeeper::NoteSuspects() {
-  if (suspected_version_ == evidence_.version()) {
+void QuarantineManager::UpdateSuspects() {
+  if (suspects_version_ == evidence_.version()) {
     return;
   }
-  suspected_version_ = evidence_.version();
+  suspects_version_ = evidence_.version();
   std::set<RequestIdentity> suspects = evidence_.Suspects();
   for (const RequestIdentity& identity : suspects) {
-    if (!suspects_.contains(identity) && new_suspects_.size() < options_.most_new_suspects) {
+    if (!suspects_.contains(identity) && new_suspects_.size() < options_.max_new_suspects) {
       new_suspects_.push_back(identity);
     }
   }
   suspects_ = std::move(suspects);
 }
 
-Duration QuarantineKeeper::HoldOf(const config::QuarantineRecord& record) const {
+Duration QuarantineManager::HoldDuration(const config::QuarantineRecord& record) const {
   const int before = static_cast<int>(record.times) - 1;
-  return options_.hold * (1 << std::clamp(before, 0, options_.most_doublings));
+  return options_.hold * (1 << std::clamp(before, 0, options_.max_doublings));
 }
 
-std::optional<QuarantineProposal> QuarantineKeeper::ProposeRelease(
+std::optional<QuarantineProposal> QuarantineManager::ProposeRelease(
     Timestamp now, const config::ConfigState& committed, bool leads) {
   for (const auto& [identity, since] : stopped_since_) {
     const bool succeeded = evidence_.HasSucceeded(identity);
-    const bool held_out = leads && now - since >= HoldOf(committed.quarantine().at(identity));
-    if (succeeded || held_out) {
+    const bool hold_expired =
+        leads && now - since >= HoldDuration(committed.quarantine().at(identity));
+    if (succeeded || hold_expired) {
       QuarantineProposal proposal;
       proposal.change.kind = config::ChangeKind::kReleaseRequest;
       proposal.change.request = identity;
@@ -82,26 +83,26 @@
   return std::nullopt;
 }
 
-std::optional<QuarantineProposal> QuarantineKeeper::ProposeStop(
+std::optional<QuarantineProposal> QuarantineManager::ProposeStop(
     Timestamp now, const config::ConfigState& committed, bool leads) {
-  if (guilty_since_.empty() && judged_version_ == evidence_.version()) {
+  if (confirmed_since_.empty() && evaluated_version_ == evidence_.version()) {
     return std::nullopt;
   }
-  judged_version_ = evidence_.version();
-  std::set<RequestIdentity> offenders;
+  evaluated_version_ = evidence_.version();
+  std::set<RequestIdentity> quarantined_before;
   for (const auto& [identity, record] : committed.quarantine()) {
-    offenders.insert(identity);
+    quarantined_before.insert(identity);
   }
   const Duration settle = leads ? options_.settle : options_.follower_settle;
-  std::map<RequestIdentity, Timestamp> guilty_since;
+  std::map<RequestIdentity, Timestamp> confirmed_since;
   std::optional<QuarantineProposal> proposal;
-  for (const quarantine::Verdict& verdict : evidence_.Guilty(offenders)) {
+  for (const quarantine::Verdict& verdict : evidence_.Guilty(quarantined_before)) {
     if (committed.IsQuarantined(verdict.identity)) {
       continue;
     }
-    const auto before = guilty_since_.find(verdict.identity);
-    const Timestamp since = before == guilty_since_.end() ? now : before->second;
-    guilty_since[verdict.identity] = since;
+    const auto before = confirmed_since_.find(verdict.identity);
+    const Timestamp since = before == confirmed_since_.end() ? now : before->second;
+    confirmed_since[verdict.identity] = since;
     if (!proposal.has_value() && now - since >= settle) {
       proposal.emplace();
       proposal->change.kind = config::ChangeKind::kQuarantineRequest;
@@ -110,7 +111,7 @@
       proposal->reason = "ends_leafs";
     }
   }
-  guilty_since_ = std::move(guilty_since);
+  confirmed_since_ = std::move(confirmed_since);
   return proposal;
 }
 
--- a/test/control/control_group_test.cc
+++ b/test/control/control_group_test.cc
@@ -1,5 +1,5 @@
-// Control machines as a group, without a network: what an operator's change waits for when machines
-// come and go.
+// Tests of a group of control machines without a network: what an operator's change waits for when
+// machines are lost and return.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <deque>
@@ -23,7 +23,7 @@
 
 std::string AddressOf(MemberId id) { return "m" + std::to_string(id); }
 
-/// Machines 1 to 5 and a network that delivers at once, except from and to lost ones.
+/// Machines 1 to 5 and a network that delivers immediately, except from and to lost machines.
 class Group {
  public:
   Group() {
@@ -59,7 +59,7 @@
   void RunFor(Duration time) {
     for (const Timestamp end = now_ + time; now_ < end; now_ += kStep) {
       for (auto& [id, machine] : machines_) {
-        if (!lost_.contains(id)) {
+        if (!paused_.contains(id)) {
           machine.server->Tick(now_);
         }
       }
@@ -68,8 +68,8 @@
   }
 
   void Deliver() {
-    for (bool moved = true; moved;) {
-      moved = false;
+    for (bool delivered = true; delivered;) {
+      delivered = false;
       std::deque<std::pair<MemberId, PeerMessage>> messages;
       for (auto& [id, machine] : machines_) {
         ControlOutput output = machine.server->TakeOutput();
@@ -77,18 +77,18 @@
           messages.emplace_back(id, std::move(message));
         }
         for (const SessionMessage& message : output.sessions) {
-          const auto* taken = std::get_if<wire::RunReportTaken>(&message.envelope.body);
-          taken_ += taken != nullptr ? 1 : 0;
+          const auto* acknowledgement = std::get_if<wire::RunReportTaken>(&message.envelope.body);
+          acknowledged_ += acknowledgement != nullptr ? 1 : 0;
         }
         for (const OperatorReply& reply : output.operators) {
           answers_[reply.ticket] = reply.body;
         }
       }
       for (const auto& [from, message] : messages) {
-        moved = true;
+        delivered = true;
         for (auto& [id, machine] : machines_) {
-          const bool meant = AddressOf(id) == message.address && Connected(from, id);
-          if (meant) {
+          const bool addressed = AddressOf(id) == message.address && Connected(from, id);
+          if (addressed) {
             machine.server->OnPeerMessage(now_, message.envelope);
           }
         }
@@ -101,7 +101,7 @@
     uint64_t term = 0;
     for (const auto& [id, machine] : machines_) {
       const consensus::Raft& raft = machine.server->raft();
-      const bool leads = !lost_.contains(id) && raft.role() == consensus::Role::kLeader;
+      const bool leads = !paused_.contains(id) && raft.role() == consensus::Role::kLeader;
       if (leads && raft.term() > term) {
         leader = id;
         term = raft.term();
@@ -118,14 +118,14 @@
     return Leader();
   }
 
-  void Put(MemberId at, TicketId ticket, uint64_t version) {
+  void SubmitDocument(MemberId at, TicketId ticket, uint64_t version) {
     config::Change change;
     change.kind = config::ChangeKind::kPutDocument;
     change.document = {version, "{}"};
     machines_.at(at).server->Submit(now_, ticket, change);
     Deliver();
   }
-  /// @return how long the answer took; unset if none came in ten seconds.
+  /// @return the time until the answer; unset if there was none within ten seconds.
   std::optional<Duration> WaitFor(TicketId ticket) {
     const Timestamp start = now_;
     while (!answers_.contains(ticket) && now_ - start < Seconds(10)) {
@@ -135,17 +135,18 @@
   }
   int CodeOf(TicketId ticket) const { return Json::parse(answers_.at(ticket)).value("code", -1); }
 
-  /// A node tells one machine of lost runs. @return whether that takes the report.
+  /// Reports lost runs from a node to one machine. @return whether the machine acknowledges the
+  /// report.
   bool Report(MemberId to, const wire::RunReport& report) {
-    const size_t before = taken_;
+    const size_t before = acknowledged_;
     machines_.at(to).server->OnNodeMessage(now_, /*session=*/1, {"test", 0, report});
     Deliver();
-    return taken_ > before;
+    return acknowledged_ > before;
   }
-  /// Neither sends nor gets anything, and stands still.
-  void Lose(MemberId id) { lost_.insert(id); }
-  void Regain(MemberId id) { lost_.erase(id); }
-  /// Two sides that do not reach each other.
+  /// Pauses a machine: it neither sends nor receives.
+  void Pause(MemberId id) { paused_.insert(id); }
+  void Resume(MemberId id) { paused_.erase(id); }
+  /// Splits the network into two sides that cannot reach each other.
   void Split(std::set<MemberId> side) { side_ = std::move(side); }
   const ControlServer& at(MemberId id) const { return *machines_.at(id).server; }
   MemberId Other(MemberId id, MemberId offset = 1) const {
@@ -160,94 +161,95 @@
   };
 
   bool Connected(MemberId from, MemberId to) const {
-    return !lost_.contains(from) && !lost_.contains(to) &&
+    return !paused_.contains(from) && !paused_.contains(to) &&
            side_.contains(from) == side_.contains(to);
   }
 
   std::map<MemberId, Machine> machines_;
   std::map<TicketId, std::string> answers_;
-  size_t taken_ = 0;
-  std::set<MemberId> lost_;
+  size_t acknowledged_ = 0;
+  std::set<MemberId> paused_;
   std::set<MemberId> side_;
   uint64_t starts_ = 0;
   Timestamp now_{Seconds(100)};
 };
 
 /// An election, the leader's first entry, and one more round.
-constexpr Duration kAcknowledged = Milliseconds(1200);
+constexpr Duration kMaxAnswerTime = Milliseconds(1200);
 
 }  // namespace
 
 class ControlGroupTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ControlGroupTest);
-  CPPUNIT_TEST(ChangeAtAFollowerOutlivesItsLeader);
-  CPPUNIT_TEST(ChangeAfterAFollowerIsLostWaitsForNothing);
-  CPPUNIT_TEST(ChangeThatADeposedLeaderTookIsPassedOn);
-  CPPUNIT_TEST(ReportIsTakenByWhoeverIsInTouchAndReachesAll);
+  CPPUNIT_TEST(ChangeAtFollowerSurvivesLossOfLeader);
+  CPPUNIT_TEST(ChangeIsNotDelayedByLostFollower);
+  CPPUNIT_TEST(ChangeAtDeposedLeaderIsForwarded);
+  CPPUNIT_TEST(ReportIsAcknowledgedWithQuorumAndRelayedToAll);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void ChangeAtAFollowerOutlivesItsLeader() {
+  void ChangeAtFollowerSurvivesLossOfLeader() {
     for (MemberId offset = 1; offset < kMachines; ++offset) {
       Group group;
       const MemberId leader = group.WaitForLeader();
-      group.Lose(leader);
-      group.Put(group.Other(leader, offset), 1, 1);
+      group.Pause(leader);
+      group.SubmitDocument(group.Other(leader, offset), 1, 1);
       const std::optional<Duration> took = group.WaitFor(1);
       CPPUNIT_ASSERT(took.has_value());
       CPPUNIT_ASSERT_EQUAL(0, group.CodeOf(1));
-      CPPUNIT_ASSERT(*took <= kAcknowledged);
+      CPPUNIT_ASSERT(*took <= kMaxAnswerTime);
     }
   }
 
-  void ChangeAfterAFollowerIsLostWaitsForNothing() {
+  void ChangeIsNotDelayedByLostFollower() {
     Group group;
     const MemberId leader = group.WaitForLeader();
-    group.Lose(group.Other(leader));
-    group.Put(group.Other(leader, 2), 1, 1);
+    group.Pause(group.Other(leader));
+    group.SubmitDocument(group.Other(leader, 2), 1, 1);
     CPPUNIT_ASSERT(*group.WaitFor(1) <= kStep);
     CPPUNIT_ASSERT_EQUAL(0, group.CodeOf(1));
   }
 
-  /// Its entry was cut off: another leader's first entry stands in its place.
-  void ChangeThatADeposedLeaderTookIsPassedOn() {
+  /// The entry is truncated and replaced by the first entry of another leader.
+  void ChangeAtDeposedLeaderIsForwarded() {
     Group group;
     const MemberId leader = group.WaitForLeader();
     group.Split({leader, group.Other(leader)});
-    group.Put(leader, 1, 1);
+    group.SubmitDocument(leader, 1, 1);
     group.RunFor(Milliseconds(1000));
     CPPUNIT_ASSERT(group.Leader() != leader);
     group.Split({});
     const std::optional<Duration> took = group.WaitFor(1);
     CPPUNIT_ASSERT(took.has_value());
     CPPUNIT_ASSERT_EQUAL(0, group.CodeOf(1));
-    CPPUNIT_ASSERT(*took <= kAcknowledged);
+    CPPUNIT_ASSERT(*took <= kMaxAnswerTime);
   }
 
-  /// A machine that is cut off knows of it alone: it leaves the node to tell another one.
-  void ReportIsTakenByWhoeverIsInTouchAndReachesAll() {
+  /// A machine without a quorum is the only one that knows the report, so it leaves it to the node
+  /// to report to another machine.
+  void ReportIsAcknowledgedWithQuorumAndRelayedToAll() {
     Group group;
     const MemberId leader = group.WaitForLeader();
     wire::RunReport report;
     report.lost = {{IdentityOf({"fatal"}), 1, "leaf", "s"}};
     report.reporter = 7;
     report.number = 1;
-    const MemberId alone = group.Other(leader);
-    group.Split({alone});
+    const MemberId isolated = group.Other(leader);
+    group.Split({isolated});
     group.RunFor(Seconds(3));
-    CPPUNIT_ASSERT(!group.Report(alone, report));
+    CPPUNIT_ASSERT(!group.Report(isolated, report));
     CPPUNIT_ASSERT_EQUAL(size_t{0}, group.at(leader).evidence().leafs());
-    const MemberId next = group.Other(leader, 2);
-    CPPUNIT_ASSERT(group.Report(next, report));
+    const MemberId connected = group.Other(leader, 2);
+    CPPUNIT_ASSERT(group.Report(connected, report));
     for (MemberId id = 1; id <= kMachines; ++id) {
       CPPUNIT_ASSERT_EQUAL(size_t{1}, group.at(id).evidence().leafs());
     }
-    // Told again since the word of it was lost: taken again, counted once.
-    CPPUNIT_ASSERT(group.Report(next, report));
+    // Repeated because the acknowledgement was lost: acknowledged again, counted once.
+    CPPUNIT_ASSERT(group.Report(connected, report));
     group.Split({});
     group.RunFor(Seconds(3));
-    CPPUNIT_ASSERT(group.Report(alone, report));
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, group.at(alone).evidence().leafs());
+    CPPUNIT_ASSERT(group.Report(isolated, report));
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, group.at(isolated).evidence().leafs());
   }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(ControlGroupTest);
--- a/test/control/discovery_server_test.cc
+++ b/test/control/discovery_server_test.cc
@@ -1,4 +1,4 @@
-// What a control machine tells gateways of leafs, of control machines and of each other.
+// What a control machine sends to gateways about leafs, control machines and other gateways.
 #include "control/discovery_server.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -24,7 +24,7 @@
   return presence;
 }
 
-/// Messages of one kind among those that are to go out.
+/// Returns the pending messages of one type.
 template <typename Message>
 std::vector<Message> Take(DiscoveryServer* server) {
   std::vector<Message> found;
@@ -40,14 +40,14 @@
 
 class DiscoveryServerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DiscoveryServerTest);
-  CPPUNIT_TEST(ControlAddressesAreToldOnce);
-  CPPUNIT_TEST(GatewaysAreToldOfEachOther);
-  CPPUNIT_TEST(NothingIsSaidWithoutNews);
-  CPPUNIT_TEST(NewsIsMadeOnceForAllThatHoldTheSame);
+  CPPUNIT_TEST(ControlAddressesAreSentOnce);
+  CPPUNIT_TEST(GatewaysReceiveEachOther);
+  CPPUNIT_TEST(NothingIsSentWithoutChanges);
+  CPPUNIT_TEST(GatewaysWithTheSameVersionShareOneMessage);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void NewsIsMadeOnceForAllThatHoldTheSame() {
+  void GatewaysWithTheSameVersionShareOneMessage() {
     DiscoveryServer server(Options());
     server.SetControlAddresses({"a:7100"});
     for (SessionId session = 1; session <= 3; ++session) {
@@ -69,7 +69,7 @@
     CPPUNIT_ASSERT(server.TakeMessages().empty());
   }
 
-  void ControlAddressesAreToldOnce() {
+  void ControlAddressesAreSentOnce() {
     DiscoveryServer server(Options());
     server.SetControlAddresses({"a:7100", "b:7100"});
     server.OnPresence(kStart, kSession, Presence("g1", 0));
@@ -81,12 +81,12 @@
     server.SetControlAddresses({"a:7100", "c:7100"});
     server.OnPresence(kStart, kSession, Presence("g1", 0));
     CPPUNIT_ASSERT_EQUAL(size_t{2}, Take<wire::LeafFeed>(&server).at(0).control.size());
-    // A new connection knows nothing.
+    // A new connection receives the full list.
     server.OnPresence(kStart, kSession + 1, Presence("g1", 0));
     CPPUNIT_ASSERT_EQUAL(size_t{2}, Take<wire::LeafFeed>(&server).at(0).control.size());
   }
 
-  void GatewaysAreToldOfEachOther() {
+  void GatewaysReceiveEachOther() {
     DiscoveryServer server(Options());
     server.OnPresence(kStart, kSession, Presence("g1", 0));
     const auto first = Take<wire::GatewayFeed>(&server);
@@ -102,7 +102,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("g2"), Take<wire::GatewayFeed>(&server).at(0).gone.at(0));
   }
 
-  void NothingIsSaidWithoutNews() {
+  void NothingIsSentWithoutChanges() {
     DiscoveryServer server(Options());
     server.OnPresence(kStart, kSession, Presence("g1", 0));
     const uint64_t version = Take<wire::GatewayFeed>(&server).at(0).version;
--- a/test/control/leaf_committer_test.cc
+++ b/test/control/leaf_committer_test.cc
@@ -1,4 +1,4 @@
-// Which leafs a control machine proposes to commit and to forget.
+// Tests of which leafs a control machine proposes to commit and to forget.
 #include "control/leaf_committer.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -17,7 +17,7 @@
   return report;
 }
 
-/// One control machine's committer over a state that applies what it proposes at once.
+/// The committer of one control machine with a state that applies its proposals immediately.
 struct Harness {
   explicit Harness(MemberId self = kSelf)
       : registry({.silence_limit = Seconds(6)}), committer({}, self, kStart) {}
@@ -47,20 +47,20 @@
 
 class LeafCommitterTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LeafCommitterTest);
-  CPPUNIT_TEST(CrowdSharesOneProposal);
+  CPPUNIT_TEST(SimultaneousReportsShareOneProposal);
   CPPUNIT_TEST(SilentLeafIsForgotten);
-  CPPUNIT_TEST(RestartLeavesTimeToReportAgain);
-  CPPUNIT_TEST(LeafThatMovedIsNotForgottenByItsOldMachine);
-  CPPUNIT_TEST(TwoMachinesDoNotTakeALeafFromEachOther);
-  CPPUNIT_TEST(LeaderForgetsLeafsOfMachinesThatAreGone);
+  CPPUNIT_TEST(LeafsMayReportAgainAfterRestart);
+  CPPUNIT_TEST(MovedLeafIsNotForgottenByOldMachine);
+  CPPUNIT_TEST(MovedLeafIsCommittedOnce);
+  CPPUNIT_TEST(LeaderForgetsLeafsOfRemovedMachines);
   CPPUNIT_TEST(RetiredLeafIsNotCommittedAgain);
-  CPPUNIT_TEST(LeafThatIsGoneIsForgottenAtOnceAndInWhole);
-  CPPUNIT_TEST(LeafsOfAnEarlierLifeAreLookedAtOnce);
-  CPPUNIT_TEST(StateSurvivesItsText);
+  CPPUNIT_TEST(SilentLeafsAreForgottenBeforeNextCheck);
+  CPPUNIT_TEST(ProposesLeafsReportedBeforeReopening);
+  CPPUNIT_TEST(StateSurvivesSerialization);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void CrowdSharesOneProposal() {
+  void SimultaneousReportsShareOneProposal() {
     Harness h;
     for (int i = 0; i < 100; ++i) {
       h.registry.OnReport(kStart, Report("leaf" + std::to_string(i), 1));
@@ -78,7 +78,7 @@
     CPPUNIT_ASSERT(h.state.reported().empty());
   }
 
-  void RestartLeavesTimeToReportAgain() {
+  void LeafsMayReportAgainAfterRestart() {
     Harness h;
     h.Commit("a", kSelf);
     CPPUNIT_ASSERT(!h.Propose(kStart + Seconds(9)).has_value());
@@ -86,10 +86,10 @@
     CPPUNIT_ASSERT(h.state.reported().empty());
   }
 
-  void LeafThatMovedIsNotForgottenByItsOldMachine() {
+  void MovedLeafIsNotForgottenByOldMachine() {
     Harness h;
     h.Commit("a", kSelf);
-    // The old machine decides to forget it while the new one commits that it reports there.
+    // The old machine proposes to forget the leaf while the new one commits it.
     auto forget = h.committer.Propose(kStart + Seconds(20), &h.registry, h.state, {kSelf}, false);
     h.Commit("a", kOther);
     h.state.Apply(*forget);
@@ -97,8 +97,9 @@
     CPPUNIT_ASSERT(h.state.IsSettled(*forget));
   }
 
-  /// A leaf has moved: for some seconds both machines hold it, the old one without new heartbeats.
-  void TwoMachinesDoNotTakeALeafFromEachOther() {
+  /// After a leaf has moved, both machines hold it for some seconds, the old one without new
+  /// heartbeats.
+  void MovedLeafIsCommittedOnce() {
     Harness old_machine(kSelf);
     Harness new_machine(kOther);
     old_machine.registry.OnReport(kStart, Report("a", 1));
@@ -124,7 +125,7 @@
     CPPUNIT_ASSERT_EQUAL(kOther, old_machine.state.reported().at("a").reporter);
   }
 
-  void LeaderForgetsLeafsOfMachinesThatAreGone() {
+  void LeaderForgetsLeafsOfRemovedMachines() {
     Harness h;
     h.Commit("a", kOther);
     CPPUNIT_ASSERT(!h.Propose(kStart + Seconds(20), /*leads=*/false, {kSelf}).has_value());
@@ -147,8 +148,8 @@
     CPPUNIT_ASSERT(h.state.reported().empty());
   }
 
-  /// Between two surveys of all that is committed.
-  void LeafThatIsGoneIsForgottenAtOnceAndInWhole() {
+  /// The leafs are removed between two checks of all committed leafs.
+  void SilentLeafsAreForgottenBeforeNextCheck() {
     Harness h;
     for (int i = 0; i < 5; ++i) {
       h.registry.OnReport(kStart, Report("leaf" + std::to_string(i), 1));
@@ -161,15 +162,16 @@
     CPPUNIT_ASSERT(h.state.reported().empty());
   }
 
-  /// The disk failed and the replica was opened anew beside a registry that has long heard of all.
-  void LeafsOfAnEarlierLifeAreLookedAtOnce() {
+  /// The replica was reopened after a disk failure, beside a registry whose reports were already
+  /// consumed.
+  void ProposesLeafsReportedBeforeReopening() {
     Harness h;
     h.registry.OnReport(kStart, Report("a", 1));
     h.registry.TakeHeard();
     CPPUNIT_ASSERT_EQUAL(size_t{1}, h.Propose(kStart + Seconds(1))->reported.size());
   }
 
-  void StateSurvivesItsText() {
+  void StateSurvivesSerialization() {
     Harness h;
     h.Commit("a", kOther);
     config::Change change;
@@ -185,7 +187,7 @@
     CPPUNIT_ASSERT(read->retired() == h.state.retired());
     CPPUNIT_ASSERT_EQUAL(h.state.document().text, read->document().text);
     CPPUNIT_ASSERT_EQUAL(uint64_t{4}, read->document().version);
-    // An older document, and the same number with other content, change nothing.
+    // An older document, and the same version with other content, change nothing.
     for (const uint64_t version : {uint64_t{3}, uint64_t{4}}) {
       change.document = {version, "other"};
       CPPUNIT_ASSERT(h.state.IsSettled(change));
