--- a/src/node/config_subscriber.cc
+++ b/src/node/config_subscriber.cc
@@ -14,14 +14,14 @@
       control_(std::hash<std::string>{}(options_.node) % options_.control_machines),
       last_feed_(now),
       started_(now),
-      turned_at_(now),
+      switched_at_(now),
       next_hello_(now) {}
 
 std::optional<wire::Envelope> ConfigSubscriber::Tick(Timestamp now) {
   const Duration limit = ready_ ? options_.silence_limit : options_.starting_silence_limit;
-  const bool silent = now - last_feed_ > limit && now - turned_at_ > limit;
+  const bool silent = now - last_feed_ > limit && now - switched_at_ > limit;
   if (silent) {
-    TurnToNext(now);
+    SwitchToNext(now);
   }
   if (now < next_hello_) {
     return std::nullopt;
@@ -34,25 +34,25 @@
   return wire::Envelope{options_.cluster, config_.version().value, std::move(hello)};
 }
 
-void ConfigSubscriber::TurnToNext(Timestamp now) {
+void ConfigSubscriber::SwitchToNext(Timestamp now) {
   control_ = (control_ + 1) % options_.control_machines;
-  turned_at_ = now;
-  // With every machine down or stopping, turning must not become a busy loop.
-  next_hello_ = std::max(now, last_hello_ + options_.shortest_hello_interval);
+  switched_at_ = now;
+  // If all machines are down or stopping, switching must not become a busy loop.
+  next_hello_ = std::max(now, last_hello_ + options_.min_hello_interval);
 }
 
 void ConfigSubscriber::TurnTo(Timestamp now, size_t control) {
   control_ = control;
-  turned_at_ = now;
+  switched_at_ = now;
   next_hello_ = now;
 }
 
-void ConfigSubscriber::OnDisconnected(Timestamp now) { TurnToNext(now); }
+void ConfigSubscriber::OnDisconnected(Timestamp now) { SwitchToNext(now); }
 
 bool ConfigSubscriber::OnFeed(Timestamp now, const wire::ConfigFeed& feed) {
   const uint64_t before = config_.version().value;
   if (feed.version < before && options_.monotone_version) {
-    // A replica that restarted and is behind: it vouches for nothing that this node has.
+    // A replica that restarted and is behind, whose proof does not cover the version of this node.
     return false;
   }
   if (feed.full) {
@@ -75,10 +75,10 @@
     return config_.version().value != before;
   }
   last_feed_ = now;
-  // Only the answer to a greeting shows how fresh it is: a message can be under way for long.
+  // Only the answer to a hello proves freshness, since a message may be delayed for long.
   if (feed.echo != 0) {
-    const Timestamp greeted{Duration(static_cast<int64_t>(feed.echo))};
-    proven_at_ = std::max(proven_at_, greeted - feed.proof_age);
+    const Timestamp hello_sent{Duration(static_cast<int64_t>(feed.echo))};
+    proven_at_ = std::max(proven_at_, hello_sent - feed.proof_age);
   }
   return config_.version().value != before || feed.full;
 }
@@ -90,7 +90,7 @@
       continue;
     }
     if (change.version != version + 1) {
-      return false;  // A message was lost; the next greeting says from where to go on.
+      return false;  // A message was lost; the next hello asks for the missing changes.
     }
     const absl::StatusOr<std::string> command = wire::Unpack(change.command);
     if (!command.ok()) {
@@ -103,13 +103,13 @@
     }
     config_.Apply(*parsed);
     if (options_.note_changed_leafs) {
-      NoteChangedLeafs(*parsed);
+      RecordChangedLeafs(*parsed);
     }
   }
   return config_.version().value >= feed.version;
 }
 
-void ConfigSubscriber::NoteChangedLeafs(const config::Change& change) {
+void ConfigSubscriber::RecordChangedLeafs(const config::Change& change) {
   if (change.kind == config::ChangeKind::kRetireLeaf) {
     changed_leafs_.push_back(change.leaf);
   }
--- a/src/node/config_subscriber.h
+++ b/src/node/config_subscriber.h
@@ -1,5 +1,5 @@
-// A node's side of the configuration feed: greets a control machine, applies what it sends in
-// order, never goes back, and turns to another machine when one stays silent.
+// The node side of the configuration feed: sends hellos to a control machine, applies its changes
+// in order, never goes back to an older version, and switches to another machine after silence.
 #pragma once
 
 #include <algorithm>
@@ -21,56 +21,56 @@
   uint64_t incarnation = 0;
   size_t control_machines = 1;
   Duration hello_interval = Milliseconds(250);
-  /// The same until the first configuration came.
+  /// The same until the first configuration has arrived.
   Duration starting_hello_interval = Milliseconds(100);
-  Duration shortest_hello_interval = Milliseconds(25);
+  Duration min_hello_interval = Milliseconds(25);
   /// Silence after which another control machine is tried.
   Duration silence_limit = Milliseconds(1000);
-  /// The same until the first configuration came.
+  /// The same until the first configuration has arrived.
   Duration starting_silence_limit = Milliseconds(400);
-  /// Whoever sets this calls TakeChangedLeafs().
+  /// Records changed leafs; the owner must call TakeChangedLeafs().
   bool note_changed_leafs = false;
-  /// Off only in simulations that show what the check is for.
+  /// Off only in simulations that show what the check prevents.
   bool monotone_version = true;
 };
 
-/// Earlier than any clock's reading, by more than any bound.
+/// Earlier than any reading of a clock, by more than any timeout.
 inline constexpr Timestamp kNeverProven{-std::chrono::hours(24)};
 
 class ConfigSubscriber {
  public:
   ConfigSubscriber(SubscriberOptions options, Timestamp now);
 
-  /// @return the greeting to send now to the machine `control()`, if one is due.
+  /// @return the hello to send now to the machine `control()`, if one is due.
   std::optional<wire::Envelope> Tick(Timestamp now);
   /// @return whether the configuration changed.
   bool OnFeed(Timestamp now, const wire::ConfigFeed& feed);
-  /// The connection broke: the next machine is tried at once.
+  /// Switches to the next machine at once after a lost connection.
   void OnDisconnected(Timestamp now);
 
-  /// Leafs that the changes since the last call were about: they report, were forgotten or left for
-  /// good. A whole configuration may change any leaf and names none.
+  /// Returns the leafs affected by the changes since the last call: reported, forgotten or retired
+  /// leafs. A full configuration may change any leaf and adds none.
   std::vector<std::string> TakeChangedLeafs() { return std::exchange(changed_leafs_, {}); }
 
-  /// Another machine than `control()` suits better.
+  /// Switches to another machine that suits better than `control()`.
   void TurnTo(Timestamp now, size_t control);
-  /// More control machines are known than at the start.
+  /// Sets the number of control machines, when more are known than at the start.
   void SetControlMachines(size_t count) { options_.control_machines = count; }
 
   /// Index of the control machine to talk to.
   size_t control() const { return control_; }
   bool ready() const { return ready_; }
   const config::ConfigState& config() const { return config_; }
-  /// Time since this configuration was last proved current, or since the start.
+  /// Returns the time since this configuration was last proved current, or since the start.
   Duration Age(Timestamp now) const { return now - std::max(started_, proven_at_); }
-  /// No change that was acknowledged before is missing here, by word of a majority of the control
-  /// machines; long ago before the first proof.
+  /// Returns the latest time for which a majority of the control machines has confirmed that no
+  /// change acknowledged before it is missing here; kNeverProven before the first proof.
   Timestamp proven_at() const { return proven_at_; }
 
  private:
-  void TurnToNext(Timestamp now);
+  void SwitchToNext(Timestamp now);
   bool ApplyChanges(const wire::ConfigFeed& feed);
-  void NoteChangedLeafs(const config::Change& change);
+  void RecordChangedLeafs(const config::Change& change);
 
   SubscriberOptions options_;
   config::ConfigState config_;
@@ -80,7 +80,7 @@
   Timestamp last_feed_;
   Timestamp started_;
   Timestamp proven_at_ = kNeverProven;
-  Timestamp turned_at_;
+  Timestamp switched_at_;
   Timestamp next_hello_;
   Timestamp last_hello_{};
 };
--- a/src/node/held_answers.h
+++ b/src/node/held_answers.h
@@ -1,6 +1,6 @@
-// Answers to unrepeatable work that wait until the ledger knows of the outcome: a node that told
-// one and ended before the ledger had it would leave whoever asks again without an answer for as
-// long as the key is remembered. No clock.
+// Answers to unrepeatable work that wait until the ledger has recorded the outcome. A node that
+// answered and stopped before that would leave repeated requests without an answer for as long as
+// the key is retained. No clock.
 #pragma once
 
 #include <map>
@@ -19,19 +19,19 @@
   query::Answer answer;
 };
 
-/// Lives on the event loop's thread.
+/// Used on the event loop's thread only.
 class HeldAnswers {
  public:
-  /// @param owner the attempt whose outcome the ledger is told. @param until when the answer is
-  /// given all the same: the ledger may be out of reach.
+  /// @param owner the attempt whose outcome is being recorded. @param until when the answer is sent
+  /// in any case, since the ledger may be unreachable.
   void Hold(const std::string& owner, CallerAnswer answer, Timestamp until);
-  /// The ledger knows of the attempt's outcome. @return its answer, if that waits here.
+  /// Handles a recorded outcome. @return the answer of the attempt, if it is held.
   std::optional<CallerAnswer> Release(const std::string& owner);
-  /// @return what waits no longer; it says that the ledger does not know of it.
+  /// @return the answers whose wait is over, marked as not recorded.
   std::vector<CallerAnswer> TakeOverdue(Timestamp now);
-  /// Nobody waits for the request's answer any more.
+  /// Drops the answer of a request that its caller no longer waits for.
   void Drop(RequestId request);
-  /// When TakeOverdue() has something next, at the earliest; unset: nothing waits.
+  /// Returns the earliest time at which TakeOverdue() may return an answer; unset: nothing is held.
   std::optional<Timestamp> next() const {
     return due_.empty() ? std::nullopt : std::optional(due_.begin()->first);
   }
@@ -39,7 +39,7 @@
 
  private:
   std::map<std::string, CallerAnswer> held_;
-  /// Attempts by the time that their answers are due; those that were released may be named still.
+  /// Attempts by the time at which their answers are due; may include released ones.
   std::multimap<Timestamp, std::string> due_;
 };
 
--- a/src/node/id_source.h
+++ b/src/node/id_source.h
@@ -1,4 +1,4 @@
-// Ids that never recur, also not after a restart: each carries the process's incarnation.
+// IDs that are unique even across restarts: each includes the incarnation of the process.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 class IdSource {
  public:
-  /// @param incarnation grows with every start of the process (see incarnation_store.h).
+  /// @param incarnation increases with every start of the process (see incarnation_store.h).
   explicit IdSource(uint64_t incarnation) : next_((incarnation << kCounterBits) + 1) {}
 
   uint64_t Next() { return next_++; }
--- a/src/node/incarnation_store.cc
+++ b/src/node/incarnation_store.cc
@@ -26,7 +26,7 @@
   const uint64_t from_clock = wall_minutes > kMinutesBase ? wall_minutes - kMinutesBase : 1;
   const uint64_t incarnation = std::max(last + 1, from_clock);
   if (incarnation > kMaxIncarnation) {
-    return MakeStatus(ResultCode::kCorruptState, "the incarnation counter has run out");
+    return MakeStatus(ResultCode::kCorruptState, "the incarnation counter is exhausted");
   }
   if (absl::Status status = file_system->Remove(kTemporaryFile); !status.ok()) {
     return status;
--- a/src/node/incarnation_store.h
+++ b/src/node/incarnation_store.h
@@ -1,4 +1,4 @@
-// Remembers in the data folder how often a process has started.
+// Stores the incarnation of a process in its data folder.
 #pragma once
 
 #include <cstdint>
@@ -8,8 +8,8 @@
 
 namespace pumicedyke::node {
 
-/// Takes the next incarnation and makes it durable before it is used. A lost folder falls back on
-/// the wall clock, which moves on by more than one a minute only if restarts do.
+/// Returns the next incarnation after making it durable. If the folder was lost, the wall clock is
+/// used, which stays ahead of the counter as long as there is at most one restart a minute.
 /// @param wall_minutes minutes since the epoch.
 absl::StatusOr<uint64_t> TakeIncarnation(storage::FileSystem* file_system, uint64_t wall_minutes);
 
--- a/src/node/ledger_client.h
+++ b/src/node/ledger_client.h
@@ -1,5 +1,5 @@
-// A node's side of the at-most-once ledger: claims before dispatch, reports outcomes until they
-// are recorded, and gives back claims that came too late to be used.
+// The node side of the at-most-once ledger: claims keys before dispatch, reports outcomes until
+// they are recorded, and releases claims that were granted too late to be used.
 #pragma once
 
 #include <functional>
@@ -16,20 +16,20 @@
 
 class LedgerClient {
  public:
-  /// @param origin names this life of this node (see id_source.h).
+  /// @param origin identifies this incarnation of the node (see id_source.h).
   LedgerClient(std::string cluster, std::string origin, IdSource* ids)
       : cluster_(std::move(cluster)), origin_(std::move(origin)), ids_(ids) {}
 
-  /// Starts a claim. @return the attempt's owner id, under which the verdict comes.
+  /// Starts a claim. @return the owner ID of the attempt, which the verdict refers to.
   std::string Claim(Timestamp now, const std::string& key, uint64_t fingerprint);
-  /// The request of this claim was answered without waiting for the verdict: should the claim be
-  /// granted after all it is released, as nothing was dispatched under it.
+  /// Abandons a claim whose request was answered without its verdict. If the claim is granted later
+  /// it is released, as nothing was dispatched under it.
   void AbandonClaim(const std::string& owner);
   void Complete(Timestamp now, const std::string& owner, const std::string& key,
                 std::string outcome);
   void Release(Timestamp now, const std::string& owner, const std::string& key);
 
-  /// What is pending goes out again at the next tick: the connection it was sent on is gone.
+  /// Resends pending requests at the next tick, after the loss of the connection.
   void RepeatAll(Timestamp now);
 
   struct Verdict {
@@ -38,10 +38,10 @@
     wire::LedgerVerdict verdict;
     std::string outcome;
   };
-  /// @return the verdict of a claim that is still wanted, or of what the ledger was told.
+  /// @return the verdict on a claim that is still needed, or on a report to the ledger.
   std::optional<Verdict> OnReply(Timestamp now, const wire::LedgerReply& reply);
 
-  /// @return messages that are due, first sends and repeats.
+  /// @return the messages that are due, including repeats.
   std::vector<wire::Envelope> Tick(Timestamp now);
   bool idle() const { return pending_.empty(); }
 
--- a/src/node/node_admission.cc
+++ b/src/node/node_admission.cc
@@ -15,10 +15,10 @@
 
 namespace {
 
-/// Stands in no header, hence in no key of a caller.
+/// Cannot occur in a header, hence not in the key of a caller.
 constexpr char kSeparator = '\x1f';
 constexpr Duration kOverloadRetryAfter = Milliseconds(200);
-constexpr Duration kLongestRetryAfter = Seconds(5);
+constexpr Duration kMaxRetryAfter = Seconds(5);
 constexpr Duration kNotReadyRetryAfter = Milliseconds(500);
 
 uint64_t Fingerprint(const query::CallerRequest& request) {
@@ -51,7 +51,7 @@
     }
     plan = *planned;
   }
-  // The caller may wait less than the policy allows, never longer.
+  // The caller may shorten the deadline of the policy, but not extend it.
   if (request.deadline.count() > 0 && request.deadline < plan.deadline) {
     plan.deadline = request.deadline;
     plan.wait = std::min(plan.wait, plan.deadline);
@@ -59,10 +59,9 @@
   return plan;
 }
 
-std::optional<Duration> NodeServer::RefusalWait(Timestamp now, const policy::QueryPlan& plan,
-                                                const query::CallerRequest& request,
-                                                const config::PublishedSnapshot& snapshot,
-                                                balance::AdmissionThrottle* throttle) {
+std::optional<Duration> NodeServer::RetryDelayIfOverloaded(
+    Timestamp now, const policy::QueryPlan& plan, const query::CallerRequest& request,
+    const config::PublishedSnapshot& snapshot, balance::AdmissionThrottle* throttle) {
   if (active_.size() >= options_.max_in_progress) {
     return kOverloadRetryAfter;
   }
@@ -72,39 +71,39 @@
   throttle->Update(now, snapshot.shards, pool_);
   const double share = throttle->AdmittedShare(request.shards, plan.priority);
   if (std::uniform_real_distribution<double>(0, 1)(random_) >= share) {
-    // The fewer are admitted, the later the next try makes sense.
+    // The retry delay grows as the admitted share shrinks.
     return std::min(Duration(static_cast<int64_t>(static_cast<double>(kOverloadRetryAfter.count()) /
                                                   std::max(share, 0.01))),
-                    kLongestRetryAfter);
+                    kMaxRetryAfter);
   }
-  Duration longest{};
+  Duration max_wait{};
   for (const config::Shard& shard : snapshot.shards) {
     const bool wanted =
         request.shards.empty() ||
         std::find(request.shards.begin(), request.shards.end(), shard.id) != request.shards.end();
     if (wanted) {
-      longest = std::max(longest, pool_.ExpectedWait(now, shard.replicas));
+      max_wait = std::max(max_wait, pool_.ExpectedWait(now, shard.replicas));
     }
   }
-  const double patience = options_.knobs.admission_low +
-                          (options_.knobs.admission_high - options_.knobs.admission_low) *
-                              plan.priority / policy::kTopPriority;
-  const auto bearable = std::chrono::duration_cast<Duration>(plan.deadline * patience);
-  if (longest <= bearable) {
+  const double wait_fraction = options_.knobs.admission_low +
+                               (options_.knobs.admission_high - options_.knobs.admission_low) *
+                                   plan.priority / policy::kTopPriority;
+  const auto tolerable_wait = std::chrono::duration_cast<Duration>(plan.deadline * wait_fraction);
+  if (max_wait <= tolerable_wait) {
     return std::nullopt;
   }
-  return std::max(longest - bearable, Milliseconds(1));
+  return std::max(max_wait - tolerable_wait, Milliseconds(1));
 }
 
-admission::EntryDecision NodeServer::Enter(Timestamp now, RequestId id,
-                                           const query::CallerRequest& request) {
+admission::EntryDecision NodeServer::CheckEntry(Timestamp now, RequestId id,
+                                                const query::CallerRequest& request) {
   return gate_.Enter(now, id, *tenants_, routing::Route{}, request.api_key,
                      subscriber_.proven_at());
 }
 
 void NodeServer::OnCallerRequest(Timestamp now, RequestId id, const query::CallerRequest& request) {
   ++counters_.requests;
-  // An earlier attempt under the same key may have run; only the ledger could tell.
+  // An earlier attempt with the same key may have run; only the ledger knows.
   const RunState run = request.idempotency_key.empty() ? RunState::kNotRun : RunState::kUnknown;
   const auto refuse = [&](ResultCode code, const std::string& message, Duration retry = {}) {
     Refuse(now, id, code, message, run, retry);
@@ -116,16 +115,17 @@
   const bool stale =
       options_.max_config_age.count() > 0 && subscriber_.Age(now) > options_.max_config_age;
   if (stale) {
-    refuse(ResultCode::kStaleConfiguration, "control is out of reach", kNotReadyRetryAfter);
+    refuse(ResultCode::kStaleConfiguration,
+           "no control machine has confirmed the configuration recently", kNotReadyRetryAfter);
     return;
   }
-  const admission::EntryDecision entry = Enter(now, id, request);
+  const admission::EntryDecision entry = CheckEntry(now, id, request);
   if (entry.verdict != admission::EntryVerdict::kAdmitted) {
     refuse(entry.code, std::string(InfoOf(entry.code).meaning), entry.retry_after);
     return;
   }
   if (subscriber_.config().IsQuarantined(request.identity)) {
-    refuse(ResultCode::kQuarantined, "this request ended the leafs that ran it",
+    refuse(ResultCode::kQuarantined, "this request crashed the leafs that ran it",
            options_.retry_when_quarantined);
     return;
   }
@@ -163,7 +163,8 @@
            "this request must not run twice: send an Idempotency-Key header");
     return;
   }
-  if (const auto wait = RefusalWait(now, *plan, request, *snapshot, runtime.throttle.get())) {
+  if (const auto wait =
+          RetryDelayIfOverloaded(now, *plan, request, *snapshot, runtime.throttle.get())) {
     refuse(ResultCode::kOverloaded, "the back ends are busy", *wait);
     return;
   }
@@ -175,7 +176,7 @@
   active.snapshot = snapshot->id;
   active.deadline = now + plan->deadline;
   if (plan->repeatable) {
-    // A key on repeatable work is accepted and has no effect.
+    // A key on repeatable work is accepted but has no effect.
     active.request.idempotency_key.clear();
     StartExecution(now, id, &active);
   } else if (!options_.ledger_before_dispatch) {
@@ -199,7 +200,7 @@
 }
 
 void NodeServer::StartClaim(Timestamp now, RequestId id, Active* active) {
-  // What one tenant has run under a key is none of another's business.
+  // The tenant is part of the key, so that tenants cannot see or block each other's keys.
   const std::string& tenant = active->request.tenant;
   active->ledger_key = active->request.service + "/" + (tenant.empty() ? "" : tenant + kSeparator) +
                        active->request.idempotency_key;
@@ -217,7 +218,7 @@
   const config::PublishedSnapshot* snapshot =
       found == services_.end() ? nullptr : found->second.service->FindSnapshot(active->snapshot);
   if (snapshot == nullptr && found != services_.end()) {
-    // The pinned snapshot went out of use while the claim was pending; nothing has been sent.
+    // The pinned snapshot was withdrawn while the claim was pending; nothing has been sent.
     snapshot = SnapshotFor(*found->second.service, active->request);
   }
   if (snapshot == nullptr) {
--- a/src/node/node_server.cc
+++ b/src/node/node_server.cc
@@ -109,8 +109,8 @@
     return;
   }
   runtime->policy_source = source;
-  // Control accepted the program after trying it. Should it fail here all the same, the one in
-  // force stays: a running policy beats none.
+  // The control machines accepted the program after testing it. If it fails to compile here anyway,
+  // the previous program stays in force.
   auto program = policy::PolicyProgram::Compile(source);
   if (program.ok()) {
     runtime->program = *std::move(program);
@@ -174,7 +174,7 @@
   if (options_.reply_id_check) {
     return request_of_.contains(reply.id) ? std::optional(reply.id) : std::nullopt;
   }
-  // What a client that trusts the order of replies would do.
+  // Behaves like a client that relies on the order of replies.
   for (const auto& [id, request] : request_of_) {
     const auto active = active_.find(request);
     if (active != active_.end() && active->second.execution != nullptr) {
@@ -224,7 +224,8 @@
   const auto found = services_.find(active->request.service);
   const config::PublishedSnapshot* choice = nullptr;
   if (found != services_.end()) {
-    // A newer snapshot if there is one; else the one before, which leafs that lag still hold.
+    // Picks a newer snapshot if there is one, otherwise the previous one, which lagging leafs still
+    // hold.
     for (const config::PublishedSnapshot& snapshot : found->second.service->snapshots) {
       if (snapshot.id != active->execution->snapshot()) {
         choice = &snapshot;
@@ -250,7 +251,7 @@
     request.tenant = active.request.tenant;
     request_of_[request.id] = id;
     active.sub_requests.push_back(request.id);
-    WatchRun(now, id, active.request, request);
+    TrackRun(now, id, active.request, request);
     output_.sends.push_back(std::move(request));
   }
   for (query::SubRequestCancel& cancel : actions.cancels) {
@@ -272,7 +273,7 @@
   }
 }
 
-void NodeServer::WatchRun(Timestamp now, RequestId id, const query::CallerRequest& request,
+void NodeServer::TrackRun(Timestamp now, RequestId id, const query::CallerRequest& request,
                           const query::LeafRequest& sent) {
   const std::string attempt = origin_ + "/" + std::to_string(id.value);
   witness_.OnSent(sent.id, {request.identity, XXH64(attempt.data(), attempt.size(), 0), sent.leaf,
@@ -311,14 +312,15 @@
     ++counters_.refused;
   }
   active->answered = true;
-  active->linger_until = now + options_.linger;
-  Schedule(id, active->linger_until);
-  Tell(now, id, *active, std::move(answer));
+  active->late_outcome_deadline = now + options_.late_outcome_timeout;
+  Schedule(id, active->late_outcome_deadline);
+  SendOrHoldAnswer(now, id, *active, std::move(answer));
 }
 
-void NodeServer::Tell(Timestamp now, RequestId id, const Active& active, Answer answer) {
-  // What the ledger is told of now must be there for whoever asks again, at any node. "Not run" is
-  // told first: once the key is given back another attempt may run.
+void NodeServer::SendOrHoldAnswer(Timestamp now, RequestId id, const Active& active,
+                                  Answer answer) {
+  // The outcome must be in the ledger before the caller knows it, since a repeated request may
+  // reach any node. "Not run" is answered first: once the key is released, another attempt may run.
   const bool recorded_first = options_.record_before_answer && !active.claim_owner.empty() &&
                               !active.execution->HasUnknownOutcome() &&
                               answer.run != RunState::kNotRun;
@@ -334,9 +336,9 @@
   if (active.claim_owner.empty()) {
     return;
   }
-  Answer outcome = active.execution->Snapshot(now);
+  Answer outcome = active.execution->CurrentAnswer(now);
   if (outcome.run == RunState::kNotRun) {
-    // Every sub-request is unsent or refused by the leaf's own word: the key may be used again.
+    // Every sub-request was unsent or refused by its leaf, so the key may be used again.
     ledger_.Release(now, active.claim_owner, active.ledger_key);
     return;
   }
@@ -349,7 +351,7 @@
   ledger_.Complete(now, active.claim_owner, active.ledger_key, std::move(text));
 }
 
-void NodeServer::OnCallerGone(Timestamp now, RequestId id) {
+void NodeServer::OnCallerDisconnected(Timestamp now, RequestId id) {
   held_.Drop(id);
   const auto found = active_.find(id);
   const bool cancellable = found != active_.end() && found->second.plan.repeatable &&
@@ -415,7 +417,7 @@
     }
     Active& active = active_.at(id);
     if (active.claim_pending) {
-      // This attempt never dispatched anything, but an earlier one with the same key may have.
+      // This attempt dispatched nothing, but an earlier one with the same key may have.
       ledger_.AbandonClaim(active.claim_owner);
       Refuse(now, id, ResultCode::kLedgerUnavailable,
              "the at-most-once ledger did not answer in time", RunState::kUnknown,
--- a/src/node/node_server.h
+++ b/src/node/node_server.h
@@ -1,6 +1,6 @@
-// One node: the process beside a caller. Admits requests, runs their executions, follows the
-// configuration, claims unrepeatable work in the ledger. No socket, clock or thread; the owner
-// passes events in and carries the output out.
+// A node, the process beside a caller: admits requests, runs their executions, follows the
+// configuration, and claims unrepeatable work in the ledger. No socket, clock or thread; the owner
+// passes events in and delivers the output.
 #pragma once
 
 #include <map>
@@ -36,24 +36,25 @@
   uint64_t seed = 1;
   /// Requests in progress beyond which new ones are refused.
   size_t max_in_progress = 20000;
-  /// Refuses work once the configuration is not vouched for in this time (brief: in force
-  /// everywhere within seconds). Zero: serves on with the last one known.
+  /// Refuses requests once the configuration has not been proved current for this long (brief: in
+  /// force everywhere within seconds). Zero: goes on with the last known configuration.
   Duration max_config_age{};
-  /// Admits nothing before the platform's list was read, or `knobs.first_report_patience` passed.
+  /// Admits no request before the platform's list was read or `knobs.first_report_patience` has
+  /// passed.
   bool wait_for_platform = false;
-  /// A late outcome of unrepeatable work is waited for this long after the answer.
-  Duration linger = Seconds(30);
+  /// How long a late outcome of unrepeatable work is awaited after the answer.
+  Duration late_outcome_timeout = Seconds(30);
   /// Off for baselines in benchmarks.
   bool admission_control = true;
-  /// Off only in simulations that show what the checks are for.
+  /// Off only in simulations that show what the checks prevent.
   bool reply_id_check = true;
   bool ledger_before_dispatch = true;
   bool record_before_answer = true;
   bool leaving_mark = true;
-  /// When to come back with a request that the fleet has stopped.
+  /// Retry delay for requests that the fleet has stopped.
   Duration retry_when_quarantined = Seconds(60);
   quarantine::WitnessOptions witness{.names_are_lives = false};
-  /// Used by benchmarks in place of every service's own policy.
+  /// Replaces the policies of all services in benchmarks.
   std::optional<policy::QueryPlan> plan_override;
 };
 
@@ -81,28 +82,29 @@
   NodeServer(NodeOptions options, Timestamp now);
 
   void Tick(Timestamp now);
-  /// Admits or refuses a request; its answer comes in the output under `id`, exactly once.
+  /// Admits or refuses a request. Its answer is output under `id`, exactly once.
   void OnCallerRequest(Timestamp now, RequestId id, const query::CallerRequest& request);
-  /// The caller went away: repeatable work is cancelled.
-  void OnCallerGone(Timestamp now, RequestId id);
+  /// Handles the disconnection of the caller: repeatable work is cancelled.
+  void OnCallerDisconnected(Timestamp now, RequestId id);
   void OnLeafReply(Timestamp now, const query::LeafReply& reply);
-  /// A leaf's health report: whether it says that it drains.
+  /// Handles a health report of a leaf, which tells whether it drains.
   void OnLeafHealth(Timestamp now, const std::string& leaf, bool draining);
-  /// The platform's list names these leafs as leaving.
+  /// Sets the leafs that the platform's list names as leaving.
   void OnPlatformLeaving(const std::set<std::string>& leafs);
   void OnControlMessage(Timestamp now, const wire::Envelope& envelope);
   void OnControlDisconnected(Timestamp now);
 
   NodeOutput TakeOutput();
 
-  /// True when no request is in progress and every ledger outcome is recorded: a stopping process
-  /// may go.
+  /// Returns true when no request is in progress and every ledger outcome is recorded, so that a
+  /// stopping process may exit.
   bool Drained() const;
-  /// When Tick() must be called next, at the latest.
+  /// Returns the latest time for the next call of Tick().
   Timestamp NextWake(Timestamp now) const;
 
   size_t control() const { return subscriber_.control(); }
-  /// Whether the configuration is known and, where it is waited for, the platform's list.
+  /// Returns whether the configuration and, with `wait_for_platform`, the platform's list are
+  /// known.
   bool Ready(Timestamp now) const;
   const config::ConfigState& config() const { return subscriber_.config(); }
   const NodeCounters& counters() const { return counters_; }
@@ -111,7 +113,7 @@
   Duration ConfigAge(Timestamp now) const { return subscriber_.Age(now); }
 
  private:
-  /// What a service's configuration compiles to on this node.
+  /// State of a service on this node, derived from its configuration.
   struct ServiceRuntime {
     std::shared_ptr<const config::Service> service;
     std::shared_ptr<policy::PolicyProgram> program;
@@ -129,7 +131,7 @@
     std::string claim_owner;
     std::string ledger_key;
     Timestamp deadline{};
-    Timestamp linger_until{};
+    Timestamp late_outcome_deadline{};
     bool claim_pending = false;
     bool answered = false;
     policy::QueryPlan plan;
@@ -144,21 +146,22 @@
   // Admission.
   absl::StatusOr<policy::QueryPlan> PlanFor(const ServiceRuntime& runtime,
                                             const query::CallerRequest& request) const;
-  /// Whether the caller may ask, as gateways decide it.
-  admission::EntryDecision Enter(Timestamp now, RequestId id, const query::CallerRequest& request);
-  std::optional<Duration> RefusalWait(Timestamp now, const policy::QueryPlan& plan,
-                                      const query::CallerRequest& request,
-                                      const config::PublishedSnapshot& snapshot,
-                                      balance::AdmissionThrottle* throttle);
+  /// Decides whether the caller is admitted, with the same check as gateways.
+  admission::EntryDecision CheckEntry(Timestamp now, RequestId id,
+                                      const query::CallerRequest& request);
+  std::optional<Duration> RetryDelayIfOverloaded(Timestamp now, const policy::QueryPlan& plan,
+                                                 const query::CallerRequest& request,
+                                                 const config::PublishedSnapshot& snapshot,
+                                                 balance::AdmissionThrottle* throttle);
   void StartClaim(Timestamp now, RequestId id, Active* active);
   void StartExecution(Timestamp now, RequestId id, Active* active);
   void Refuse(Timestamp now, RequestId id, ResultCode code, const std::string& message,
               query::RunState run, Duration retry_after);
 
-  // Requests that end the leafs that run them.
-  void WatchRun(Timestamp now, RequestId id, const query::CallerRequest& request,
+  // Requests that crash the leafs that run them.
+  void TrackRun(Timestamp now, RequestId id, const query::CallerRequest& request,
                 const query::LeafRequest& sent);
-  /// Stops what is in progress of requests that the fleet has stopped.
+  /// Stops the requests in progress that the fleet has stopped.
   void StopQuarantined(Timestamp now);
 
   // Progress.
@@ -167,8 +170,8 @@
   void AnswerFromLedger(Timestamp now, RequestId id, const LedgerClient::Verdict& verdict);
   void CollectActions(Timestamp now, RequestId id);
   void RestartOnOtherSnapshot(Timestamp now, Active* active);
-  /// Gives the answer, or holds it until the ledger has the outcome.
-  void Tell(Timestamp now, RequestId id, const Active& active, query::Answer answer);
+  /// Sends the answer, or holds it until the ledger has recorded the outcome.
+  void SendOrHoldAnswer(Timestamp now, RequestId id, const Active& active, query::Answer answer);
   void RecordOutcome(Timestamp now, const Active& active);
   void Finish(Timestamp now, RequestId id, Active* active, query::Answer answer);
   void Remove(Timestamp now, RequestId id);
@@ -178,13 +181,13 @@
   NodeOptions options_;
   Timestamp started_;
   bool platform_known_ = false;
-  /// Names this life of this node; ids of two nodes, or of two lives, must never be taken for
-  /// each other, neither in the ledger nor at a leaf.
+  /// Identifies this incarnation of the node. IDs of two nodes or two incarnations must never be
+  /// confused, neither in the ledger nor at a leaf.
   std::string origin_;
   IdSource ids_;
   ConfigSubscriber subscriber_;
   admission::EntryGate gate_;
-  /// The tenants of the configuration in force, in the form that the gate takes.
+  /// Tenants of the configuration in force, in the form that the gate takes.
   std::shared_ptr<const routing::RouteTable> tenants_;
   uint64_t tenants_revision_ = 0;
   LedgerClient ledger_;
--- a/src/node/platform_list.h
+++ b/src/node/platform_list.h
@@ -1,5 +1,5 @@
-// The platform's list of machines that are leaving, which others may write into. Free functions;
-// safe on any thread.
+// The platform's list of machines that are leaving, which other writers may edit. Free functions;
+// thread-safe.
 #pragma once
 
 #include <set>
@@ -10,8 +10,8 @@
 
 namespace pumicedyke::node {
 
-/// @return the machines that are named; entries that name none are passed over. kMalformedRequest
-/// if there is no list at all.
+/// @return the machines on the list; entries that are not strings are skipped. kMalformedRequest if
+/// there is no list.
 absl::StatusOr<std::set<std::string>> ReadPlatformList(std::string_view bytes);
 
 }  // namespace pumicedyke::node
--- a/src/query/answer_moment.cc
+++ b/src/query/answer_moment.cc
@@ -5,75 +5,76 @@
 namespace pumicedyke::query {
 namespace {
 
-/// What an earlier answer counts for each later one.
-constexpr double kKeep = 0.97;
-/// So many missing parts, a few of which come at each moment, are taken to have been seen.
+/// Weight of the earlier counts relative to a new answer.
+constexpr double kDecay = 0.97;
+/// Prior: this many missing results are assumed to have been observed, arriving at kPriorHazard in
+/// each interval.
 constexpr double kPriorMissing = 2;
 constexpr double kPriorHazard = 0.1;
-/// Waiting must promise so much more than answering, as a part of a whole answer in time.
-constexpr double kLeastGain = 1e-3;
+/// Minimum expected gain of waiting over answering now, as a fraction of a complete answer in time.
+constexpr double kMinGain = 1e-3;
 
 double Squared(double value) { return value * value; }
 
 }  // namespace
 
 ArrivalCurve::ArrivalCurve(Duration objective)
-    : step_(std::max(Duration(1), objective / static_cast<int64_t>(kMoments))) {}
+    : step_(std::max(Duration(1), objective / static_cast<int64_t>(kIntervals))) {}
 
-size_t ArrivalCurve::MomentOf(Duration after) const {
-  const int64_t moment = std::max(Duration(0), after) / step_;
-  return std::min(static_cast<size_t>(moment), kMoments - 1);
+size_t ArrivalCurve::IntervalOf(Duration after) const {
+  const int64_t interval = std::max(Duration(0), after) / step_;
+  return std::min(static_cast<size_t>(interval), kIntervals - 1);
 }
 
-double ArrivalCurve::PartOf(Duration after, size_t moment) const {
-  const Duration passed = after - TimeOf(moment);
-  const double part = static_cast<double>(passed.count()) / static_cast<double>(step_.count());
-  return std::clamp(part, 0.0, 1.0);
+double ArrivalCurve::ElapsedFraction(Duration after, size_t interval) const {
+  const Duration elapsed = after - IntervalStart(interval);
+  const double fraction = static_cast<double>(elapsed.count()) / static_cast<double>(step_.count());
+  return std::clamp(fraction, 0.0, 1.0);
 }
 
-void ArrivalCurve::Record(const std::vector<PartsArrival>& arrivals, size_t shards,
+void ArrivalCurve::Record(const std::vector<ShardArrivals>& arrivals, size_t shards,
                           Duration answered) {
-  std::array<double, kMoments> came{};
-  for (const PartsArrival& arrival : arrivals) {
-    came[MomentOf(arrival.after)] += static_cast<double>(arrival.parts);
+  std::array<double, kIntervals> arrived{};
+  for (const ShardArrivals& arrival : arrivals) {
+    arrived[IntervalOf(arrival.after)] += static_cast<double>(arrival.shards);
   }
   auto missing = static_cast<double>(shards);
-  const size_t end = MomentOf(answered);
+  const size_t end = IntervalOf(answered);
   for (size_t i = 0; i <= end && missing > 0; ++i) {
-    // The last moment was cut short for what had not come.
-    const double part = i == end ? PartOf(answered, i) : 1;
-    const double exposed = came[i] + (missing - came[i]) * part;
-    counts_[i].missing = counts_[i].missing * kKeep + exposed;
-    counts_[i].came = counts_[i].came * kKeep + came[i];
-    missing -= came[i];
+    // Results that had not arrived were exposed only to part of the last interval.
+    const double fraction = i == end ? ElapsedFraction(answered, i) : 1;
+    const double exposed = arrived[i] + (missing - arrived[i]) * fraction;
+    counts_[i].missing = counts_[i].missing * kDecay + exposed;
+    counts_[i].arrived = counts_[i].arrived * kDecay + arrived[i];
+    missing -= arrived[i];
   }
 }
 
-double ArrivalCurve::Hazard(size_t moment) const {
-  const Counts& counts = counts_[moment];
+double ArrivalCurve::Hazard(size_t interval) const {
+  const Counts& counts = counts_[interval];
   const double hazard =
-      (counts.came + kPriorMissing * kPriorHazard) / (counts.missing + kPriorMissing);
+      (counts.arrived + kPriorMissing * kPriorHazard) / (counts.missing + kPriorMissing);
   return std::clamp(hazard, 0.0, 1.0);
 }
 
-Duration BestMoment(const AnswerOutlook& outlook, const ArrivalCurve& arrivals,
-                    const RecentDurations& lag, const AnswerWorth& worth) {
-  const auto shards = static_cast<double>(outlook.shards);
-  double missing = shards - static_cast<double>(outlook.covered);
+Duration BestMoment(const PendingAnswer& pending, const ArrivalCurve& arrivals,
+                    const RecentDurations& lag, const AnswerValue& answer_value) {
+  const auto shards = static_cast<double>(pending.shards);
+  double missing = shards - static_cast<double>(pending.covered);
   const auto value = [&](Duration at) {
-    const double in_time = lag.ShareWithin(outlook.due - at);
-    return Squared(1 - missing / shards) * (in_time + (1 - in_time) * worth.late);
+    const double in_time = lag.ShareWithin(pending.due - at);
+    return Squared(1 - missing / shards) * (in_time + (1 - in_time) * answer_value.late);
   };
-  Duration best = outlook.elapsed;
-  double most = value(best) + kLeastGain;
-  for (size_t i = arrivals.MomentOf(outlook.elapsed); i < ArrivalCurve::kMoments; ++i) {
-    const Duration end = arrivals.TimeOf(i + 1);
-    if (end > outlook.due || end <= outlook.elapsed) {
+  Duration best = pending.elapsed;
+  double best_value = value(best) + kMinGain;
+  for (size_t i = arrivals.IntervalOf(pending.elapsed); i < ArrivalCurve::kIntervals; ++i) {
+    const Duration end = arrivals.IntervalStart(i + 1);
+    if (end > pending.due || end <= pending.elapsed) {
       break;
     }
-    missing *= 1 - arrivals.Hazard(i) * (1 - arrivals.PartOf(outlook.elapsed, i));
-    if (const double then = value(end); then > most) {
-      most = then;
+    missing *= 1 - arrivals.Hazard(i) * (1 - arrivals.ElapsedFraction(pending.elapsed, i));
+    if (const double later_value = value(end); later_value > best_value) {
+      best_value = later_value;
       best = end;
     }
   }
--- a/src/query/answer_moment.h
+++ b/src/query/answer_moment.h
@@ -1,10 +1,12 @@
-// When an answer that lacks parts goes out: when waiting longer costs more than the missing parts
-// are worth. What waiting brings is learnt from when parts came to earlier answers, what it costs
-// from how long answers took to reach their clients. No clock: times are given. One thread.
+// Decides when an answer with missing shard results is sent: once waiting longer is expected to
+// cost more than the missing results are worth. The value of waiting is learned from the arrival
+// times of shard results in earlier answers, its cost from how long answers took to reach their
+// clients. No clock: times are passed in. Single-threaded.
 //
-// Parts that had not come when an answer went out are censored: nobody knows when they would have
-// come. So the curve counts, for each moment, the parts that were still missing and those of them
-// that came (Kaplan and Meier, "Nonparametric Estimation from Incomplete Observations", 1958).
+// Shard results still missing when an answer was sent are censored: their arrival time is unknown.
+// The curve therefore counts, for each interval, the results still missing at its start and those
+// of them that arrived during it (Kaplan and Meier, "Nonparametric Estimation from Incomplete
+// Observations", 1958).
 #pragma once
 
 #include <array>
@@ -16,69 +18,71 @@
 
 namespace pumicedyke::query {
 
-/// Parts that came together.
-struct PartsArrival {
-  /// Since the request came.
+/// Shard results that arrived together.
+struct ShardArrivals {
+  /// Since the arrival of the request.
   Duration after{};
-  size_t parts = 0;
+  size_t shards = 0;
 };
 
-/// When the parts of a route's answers come.
+/// Estimates when the shard results of a route arrive.
 class ArrivalCurve {
  public:
-  /// Moments of an objective that are told apart.
-  static constexpr size_t kMoments = 64;
+  /// Intervals into which the objective is divided.
+  static constexpr size_t kIntervals = 64;
 
   /// @param objective above zero.
   explicit ArrivalCurve(Duration objective);
 
-  /// Takes in how an answer came about.
-  /// @param arrivals in the order of time. @param shards parts that the answer should have had.
-  /// @param answered when it went out, since the request came.
-  void Record(const std::vector<PartsArrival>& arrivals, size_t shards, Duration answered);
+  /// Records the arrivals for one answer.
+  /// @param arrivals in order of time. @param shards shard results that the complete answer has.
+  /// @param answered when the answer was sent, since the arrival of the request.
+  void Record(const std::vector<ShardArrivals>& arrivals, size_t shards, Duration answered);
 
-  /// @param moment below kMoments. @return the probability that a part that is missing then comes
-  /// before the next moment. Where little was seen, a part is expected to come sooner or later.
-  double Hazard(size_t moment) const;
+  /// @param interval below kIntervals. @return the probability that a result missing at the start
+  /// of the interval arrives before its end. Where there are few samples, a prior hazard is
+  /// assumed.
+  double Hazard(size_t interval) const;
 
-  size_t MomentOf(Duration after) const;
-  /// When a moment begins. @param moment up to kMoments.
-  Duration TimeOf(size_t moment) const { return step_ * static_cast<int64_t>(moment); }
-  /// @return the part of a moment that is over by then, 0 to 1.
-  double PartOf(Duration after, size_t moment) const;
+  size_t IntervalOf(Duration after) const;
+  /// Returns the start of an interval. @param interval up to kIntervals.
+  Duration IntervalStart(size_t interval) const { return step_ * static_cast<int64_t>(interval); }
+  /// @return the fraction of the interval that has elapsed by then, 0 to 1.
+  double ElapsedFraction(Duration after, size_t interval) const;
 
  private:
   struct Counts {
     double missing = 0;
-    double came = 0;
+    double arrived = 0;
   };
 
   Duration step_;
-  std::array<Counts, kMoments> counts_{};
+  std::array<Counts, kIntervals> counts_{};
 };
 
-/// What an answer is worth to its client, as parts of one that is whole and in time: one with parts
-/// missing the square of its coverage, a late one this much of that.
-struct AnswerWorth {
+/// Value of an answer to its client, as a fraction of a complete answer in time. A partial answer
+/// is worth the square of its coverage; a late answer is worth `late` times that.
+struct AnswerValue {
   double late = 0.1;
 };
 
-/// An answer that may go out already and lacks parts.
-struct AnswerOutlook {
-  /// Since the request came.
+/// An answer that may be sent already but has shard results missing.
+struct PendingAnswer {
+  /// Since the arrival of the request.
   Duration elapsed{};
-  /// Part of the objective that was left to gateways when the request came: what the client had
-  /// spent and the way in both directions are off.
+  /// Remaining part of the objective when the request arrived: the time already spent by the client
+  /// and the round trip to it are subtracted.
   Duration due{};
   size_t covered = 0;
   /// Above zero.
   size_t shards = 0;
 };
 
-/// @param lag what passes between the moment at which an answer is to go out and its last byte:
-/// other work of the gateway, and its own making.
-/// @return when the answer is best given, unless more comes meanwhile: `elapsed` or later.
-Duration BestMoment(const AnswerOutlook& outlook, const ArrivalCurve& arrivals,
-                    const RecentDurations& lag, const AnswerWorth& worth = {});
+/// @param lag time from the chosen send time to the last byte of the answer: other work of the
+/// gateway and building the answer.
+/// @return the best time to send the answer if no more results arrive meanwhile: `elapsed` or
+/// later.
+Duration BestMoment(const PendingAnswer& pending, const ArrivalCurve& arrivals,
+                    const RecentDurations& lag, const AnswerValue& answer_value = {});
 
 }  // namespace pumicedyke::query
--- a/src/query/extra_order.cc
+++ b/src/query/extra_order.cc
@@ -8,13 +8,13 @@
 namespace pumicedyke::query {
 namespace {
 
-/// Shares are compared with this much tolerance.
+/// Tolerance for comparing coverage shares.
 constexpr double kCoverageEpsilon = 1e-9;
-/// Ranks are told apart so finely.
+/// Number of distinct ranks.
 constexpr uint64_t kRanks = 1 << 20;
 
-/// What a hash of a request's name decides; one must not hang on the other.
-enum class Purpose : uint64_t { kRank, kTurn };
+/// Seeds of the hashes of a request ID, which must be independent of each other.
+enum class Purpose : uint64_t { kRank, kRemainder };
 
 uint64_t HashOf(std::string_view request_id, Purpose purpose) {
   return XXH64(request_id.data(), request_id.size(), static_cast<uint64_t>(purpose));
@@ -27,27 +27,27 @@
          static_cast<double>(kRanks);
 }
 
-bool PaidFor(double rank, std::vector<double> left, size_t may_miss) {
-  if (left.size() <= may_miss) {
+bool RankQualifies(double rank, std::vector<double> remaining, size_t may_miss) {
+  if (remaining.size() <= may_miss) {
     return true;
   }
-  const auto scarcest = left.begin() + static_cast<std::ptrdiff_t>(may_miss);
-  std::nth_element(left.begin(), scarcest, left.end());
-  return rank < *scarcest / kScarceLeft;
+  const auto lowest = remaining.begin() + static_cast<std::ptrdiff_t>(may_miss);
+  std::nth_element(remaining.begin(), lowest, remaining.end());
+  return rank < *lowest / kScarceBudget;
 }
 
-bool WorthReplacing(const GatherNeed& need, double left) {
-  return need.uncovered > need.may_miss || left >= kPlentyLeft;
+bool ShouldReplace(const GatherProgress& progress, double remaining) {
+  return progress.uncovered > progress.may_miss || remaining >= kAmpleBudget;
 }
 
-bool WorthHedging(bool refusals, double left) { return !refusals || left > kHedgesLeave; }
+bool ShouldHedge(bool refusals, double remaining) { return !refusals || remaining > kHedgeReserve; }
 
 size_t MayMiss(size_t shards, double min_coverage, size_t groups, size_t group,
                std::string_view request_id) {
-  const double spared = static_cast<double>(shards) * (1.0 - min_coverage) + kCoverageEpsilon;
-  const auto whole = static_cast<size_t>(std::max(0.0, std::floor(spared)));
-  const size_t turn = (group + HashOf(request_id, Purpose::kTurn)) % groups;
-  return whole / groups + (turn < whole % groups ? 1 : 0);
+  const double spare = static_cast<double>(shards) * (1.0 - min_coverage) + kCoverageEpsilon;
+  const auto spare_shards = static_cast<size_t>(std::max(0.0, std::floor(spare)));
+  const size_t turn = (group + HashOf(request_id, Purpose::kRemainder)) % groups;
+  return spare_shards / groups + (turn < spare_shards % groups ? 1 : 0);
 }
 
 }  // namespace pumicedyke::query
--- a/src/query/extra_order.h
+++ b/src/query/extra_order.h
@@ -1,11 +1,11 @@
-// In which order the allowance of extra sub-requests is spent when leafs refuse and there is not
-// enough for all. What brings a shard that has none yet comes before hedges; few gathers are
-// brought to the coverage they need before many are left short of it; up to the need comes before
-// beyond it.
+// Order in which the budget for extra sub-requests is spent when leafs refuse and the budget is not
+// enough for every request. Sub-requests for shards without a result come before hedges. Bringing a
+// few gathers to their required coverage is preferred over leaving many short of it. Shards up to
+// the required coverage come before those beyond it.
 //
-// Several gateways work on one gather, each with an allowance of its own, and a gather that one of
-// them gives up is lost for all. So the choice between gathers hangs on the name of the request
-// alone, by which all of them choose alike without a word (as WeChat's DAGOR does between services:
+// Several gateways work on one gather, each with its own budget, and a gather that one of them
+// abandons fails as a whole. The choice between gathers therefore depends only on the request ID,
+// so that all gateways choose alike without communication (as WeChat's DAGOR does between services:
 // Zhou et al., "Overload Control for Scaling WeChat Microservices", 2018).
 #pragma once
 
@@ -15,44 +15,45 @@
 
 namespace pumicedyke::query {
 
-/// Part of the allowance above which shards beyond the need of a gather are paid for.
-inline constexpr double kPlentyLeft = 0.8;
-/// Part of it below which not every gather is paid for.
-inline constexpr double kScarceLeft = 0.25;
-/// Part of the allowance that hedges leave alone where leafs refuse.
-inline constexpr double kHedgesLeave = 0.5;
+/// Fraction of the budget above which shards beyond the required coverage are paid for.
+inline constexpr double kAmpleBudget = 0.8;
+/// Fraction of the budget below which only some gathers are paid for, by rank.
+inline constexpr double kScarceBudget = 0.25;
+/// Fraction of the budget that hedges leave unused where leafs refuse.
+inline constexpr double kHedgeReserve = 0.5;
 
-/// Part of what is sent that a leaf refuses often, at least.
-inline constexpr double kFrequentRefusals = 0.1;
+/// Minimum refusal rate of a leaf that refuses often.
+inline constexpr double kFrequentRefusalRate = 0.1;
 
-/// Where a gather stands as one gateway sees it.
-struct GatherNeed {
-  /// Shards that it can do without, of those asked here.
+/// Coverage of a gather as seen by one gateway.
+struct GatherProgress {
+  /// Shards that may stay without a result, of those assigned to this gateway.
   size_t may_miss = 0;
-  /// Shards without a part.
+  /// Shards without a result so far.
   size_t uncovered = 0;
 };
 
-/// @return the rank of a request among those that compete for an allowance, 0 up to 1, alike at
-/// every gateway; the lower, the sooner it is paid for.
+/// @return the rank of a request among those that compete for a budget, 0 up to 1. It is the same
+/// at every gateway; lower ranks are paid for first.
 double RankOf(std::string_view request_id);
 
-/// Whether a gather is paid for at shards all of whose leafs refuse often. Decided once for each
-/// gather: one that was begun is not left half done.
-/// @param left parts of the allowance, 0 to 1, that are left at each of these shards. Those that
-/// the gather can do without may be the scarcest ones.
-bool PaidFor(double rank, std::vector<double> left, size_t may_miss);
+/// Returns whether a gather may charge the budget for shards whose leafs all refuse often. Decided
+/// once for each gather, so that a gather that was started is not abandoned half done.
+/// @param remaining remaining fractions of the budget, 0 to 1, one for each of these shards. The
+/// `may_miss` lowest ones are ignored.
+bool RankQualifies(double rank, std::vector<double> remaining, size_t may_miss);
 
-/// Whether to send once more for such a shard, for a gather that is paid for.
-/// @param left part of the allowance that is left at this shard, 0 to 1.
-bool WorthReplacing(const GatherNeed& need, double left);
+/// Returns whether to send another sub-request for such a shard, for a gather that qualifies.
+/// @param remaining remaining fraction of the budget of this shard, 0 to 1.
+bool ShouldReplace(const GatherProgress& progress, double remaining);
 
-/// Whether to ask a second leaf for a shard that is being worked on.
-/// @param refusals leafs of the shard refuse part of what is sent.
-bool WorthHedging(bool refusals, double left);
+/// Returns whether to send a hedge for a shard with a running sub-request.
+/// @param refusals whether leafs of the shard refuse often.
+bool ShouldHedge(bool refusals, double remaining);
 
-/// How many of its shards one group may miss so that the whole gather still reaches its coverage.
-/// What cannot be divided among the groups goes round with the request.
+/// Returns how many of its shards one group may miss so that the whole gather still reaches its
+/// coverage. The remainder of the division among the groups is assigned by a hash of the request
+/// ID.
 /// @param shards, min_coverage of the whole gather. @param groups 1 or more.
 size_t MayMiss(size_t shards, double min_coverage, size_t groups, size_t group,
                std::string_view request_id);
--- a/src/query/leaf_payload.h
+++ b/src/query/leaf_payload.h
@@ -1,5 +1,5 @@
-// What a leaf answered, as it stood: the system passes it on or merges its records without knowing
-// what they mean.
+// The response of a leaf, unchanged: it is passed on, or its records are merged, without
+// interpreting their content.
 #pragma once
 
 #include <string>
@@ -13,7 +13,7 @@
   std::string reason;
   http::Headers headers;
   std::string body;
-  /// The leaf's own proof that the answer is its own; empty if it gave none.
+  /// Proof by the leaf that the response is its own; empty if it sent none.
   std::string signature;
 };
 
--- a/src/query/messages.cc
+++ b/src/query/messages.cc
@@ -181,7 +181,7 @@
   if (answer.retry_after.count() > 0) {
     json["retry_after_ms"] = ToMilliseconds(answer.retry_after);
   }
-  // Text from leafs may hold broken UTF-8; it must not cost the caller the answer.
+  // Text from leafs may contain invalid UTF-8, which must not make the answer fail.
   return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
@@ -310,8 +310,8 @@
 }
 
 absl::StatusOr<Continuation> DecodeContinuation(const std::string& token) {
-  const absl::Status bad = FieldError(ResultCode::kBadContinuation, "continuation",
-                                      "is not a token that a node gave out");
+  const absl::Status bad =
+      FieldError(ResultCode::kBadContinuation, "continuation", "is not a token issued by a node");
   std::string sealed;
   if (!absl::WebSafeBase64Unescape(token, &sealed)) {
     return bad;
--- a/src/query/messages.h
+++ b/src/query/messages.h
@@ -1,4 +1,4 @@
-// What a node says to leafs and hears from them, and what it answers to callers.
+// Messages between nodes and leafs, and the answers to callers.
 #pragma once
 
 #include <map>
@@ -25,7 +25,7 @@
 
 /// One sub-request: one shard of one snapshot, at one leaf.
 struct LeafRequest {
-  /// The sending node's life; `id` is unique within it.
+  /// Incarnation of the sending node; `id` is unique within it.
   std::string origin;
   SubRequestId id;
   std::string leaf;
@@ -33,18 +33,18 @@
   ShardId shard;
   SnapshotId snapshot;
   std::string query;
-  /// Time left for the leaf, shrunk by the hop.
+  /// Remaining time for the leaf; the network hop is subtracted.
   Duration budget{};
   /// Set for work that must not run twice; such a request is sent on a fresh connection.
   std::string idempotency_key;
   bool repeatable = true;
-  /// Whose request it is; empty: nobody's, or nobody needs a key.
+  /// Tenant of the request; empty: none, or no API keys are required.
   std::string tenant = {};
 };
 
 enum class LeafStatus {
   kOk = 0,
-  /// Refused before start, by the leaf's own word.
+  /// Refused before start, as reported by the leaf.
   kSnapshotNotHeld = 1,
   kNotOwner = 2,
   kShed = 3,
@@ -69,16 +69,16 @@
   SnapshotId snapshot;
   LeafStatus status = LeafStatus::kFailed;
   std::vector<ResultItem> results;
-  /// The connection ended with not one byte of an answer after the request had gone out: the leaf
-  /// may have ended while it ran it.
+  /// The connection closed without a byte of the response after the request had been sent: the leaf
+  /// may have crashed while running it.
   bool connection_lost = false;
   /// The leaf stopped early: the shard is not covered.
   bool truncated = false;
-  /// The leaf is leaving; rides on every response.
+  /// The leaf is draining; set in every reply.
   bool draining = false;
   /// Requests running and queued at the leaf when it replied.
   uint32_t load = 0;
-  /// The whole answer, for requests that are passed on unread; null if there was none.
+  /// The complete response, for requests that are passed on unparsed; null if there was none.
   std::shared_ptr<const LeafPayload> payload = nullptr;
 };
 
@@ -99,7 +99,7 @@
   MissingReason reason = MissingReason::kNone;
 };
 
-/// Which shards of the pinned snapshot's map an answer includes, and why others are missing.
+/// Shards of the pinned snapshot that an answer includes, and why others are missing.
 struct Coverage {
   std::vector<ShardId> included;
   std::vector<MissingShard> missing;
@@ -109,34 +109,34 @@
   }
 };
 
-/// The whole answer of one shard's leaf.
+/// The complete response for one shard.
 struct ShardPayload {
   ShardId shard;
   std::shared_ptr<const LeafPayload> payload;
 };
 
-/// What became of one sub-request, for whoever explains a request afterwards.
+/// Outcome of one sub-request, for logs and diagnostics.
 struct AttemptRecord {
   ShardId shard;
   std::string leaf;
-  /// Since the request came.
+  /// Since the arrival of the request.
   Duration sent{};
-  /// "running", "refused", "failed", "lost" (its connection ended without an answer) or "done".
+  /// "running", "refused", "failed", "lost" (the connection closed without a response) or "done".
   const char* state = "";
 };
 
-/// What is certain about the work of a request that gets no complete answer.
+/// What is known about the execution of a request that gets no complete answer.
 enum class RunState { kRan = 0, kNotRun = 1, kUnknown = 2 };
 const char* RunStateName(RunState state);
 
-/// A caller's request, checked for form.
+/// A caller's request after validation of its syntax.
 struct CallerRequest {
   std::string service;
   std::string query;
   std::string request_class;
-  /// What is asked for and for whom: the same for each attempt.
+  /// Identity of the request and its caller; the same for each attempt.
   RequestIdentity identity;
-  /// Zero: the policy's own deadline.
+  /// Zero: the policy's deadline.
   Duration deadline{};
   std::string idempotency_key;
   /// Only these shards; empty means all.
@@ -144,9 +144,9 @@
   /// From a continuation token: the snapshot to stay on.
   std::optional<SnapshotId> snapshot;
   size_t limit = 0;
-  /// The caller's API key; empty: it sent none.
+  /// The caller's API key; empty if none was sent.
   std::string api_key;
-  /// Whose request it is, by the node's word; empty: nobody's.
+  /// Tenant of the request as determined by the node; empty: none.
   std::string tenant;
 };
 
@@ -158,21 +158,21 @@
   Coverage coverage;
   std::vector<ResultItem> results;
   ConfigVersion config_version;
-  /// Time since the node last heard of the configuration from a current control machine.
+  /// Time since the node last received the configuration from a current control machine.
   Duration config_age{};
   std::string continuation;
   Duration retry_after{};
-  /// Of unrepeatable work: false if the ledger had not taken the outcome when it was told, so that
-  /// somebody who asks again may not get it yet.
+  /// For unrepeatable work: false if the ledger had not recorded the outcome when the answer was
+  /// sent, so that a repeated request may not get it yet.
   bool recorded = true;
-  /// Sub-requests sent for this answer, of which extra ones (hedges and retries).
+  /// Sub-requests sent for this answer; extra ones are hedges and retries.
   uint32_t sub_requests = 0;
   uint32_t extra_sub_requests = 0;
-  /// Shards that were given up because nothing paid for another sub-request.
+  /// Shards abandoned because the budget denied another sub-request.
   uint32_t unpaid_shards = 0;
-  /// For requests that are passed on unread: one for each included shard.
+  /// For requests that are passed on unparsed: one for each included shard.
   std::vector<ShardPayload> payloads = {};
-  /// The newest failure that a leaf answered with, if a shard is missing because of it.
+  /// The latest failure response of a leaf, if a shard is missing because of it.
   std::shared_ptr<const LeafPayload> failure = nullptr;
 };
 
--- a/src/query/request_answer.cc
+++ b/src/query/request_answer.cc
@@ -1,4 +1,4 @@
-// What RequestExecution says at a moment: coverage, run state and the answer made of them.
+// The answer of RequestExecution at a point in time: coverage, run state and results.
 #include <algorithm>
 
 #include "query/request_execution.h"
@@ -76,7 +76,7 @@
                      [this](const ShardProgress& shard) { return ActiveAttempts(shard) > 0; });
 }
 
-ResultCode RequestExecution::CodeAtEnd(const Coverage& coverage, ResultCode failure) const {
+ResultCode RequestExecution::FinalCode(const Coverage& coverage, ResultCode failure) const {
   if (coverage.missing.empty()) {
     return ResultCode::kOk;
   }
@@ -95,11 +95,11 @@
   return failure == ResultCode::kPartial ? ResultCode::kCoverageNotReached : failure;
 }
 
-Answer RequestExecution::Snapshot(Timestamp now) const {
+Answer RequestExecution::CurrentAnswer(Timestamp now) const {
   Answer answer;
   answer.snapshot = snapshot_id_;
   answer.coverage = CurrentCoverage();
-  answer.code = CodeAtEnd(answer.coverage, ResultCode::kDeadlineExceeded);
+  answer.code = FinalCode(answer.coverage, ResultCode::kDeadlineExceeded);
   answer.run = answer.coverage.missing.empty() ? RunState::kRan : CurrentRunState();
   for (const ShardProgress& shard : shards_) {
     if (shard.payload != nullptr) {
@@ -115,7 +115,7 @@
   }
   answer.sub_requests = sent_;
   answer.extra_sub_requests = extra_;
-  answer.unpaid_shards = given_up_unpaid_;
+  answer.unpaid_shards = abandoned_for_budget_;
   if (!answer.coverage.missing.empty() && plan_.repeatable) {
     answer.continuation =
         EncodeContinuation(request_.service, snapshot_id_, answer.coverage.missing);
--- a/src/query/request_execution.cc
+++ b/src/query/request_execution.cc
@@ -6,14 +6,15 @@
 namespace pumicedyke::query {
 namespace {
 
-/// Part of the deadline after which a restart on another snapshot no longer pays.
+/// Fraction of the deadline after which a restart on another snapshot is no longer worthwhile.
 constexpr double kRestartWindow = 0.5;
-/// A shard's replicas may all be asked this often in turn when they refuse, with growing pauses.
+/// Maximum number of rounds over the replicas of a shard when they refuse; the pause between rounds
+/// grows.
 constexpr int kMaxRounds = 8;
-constexpr Duration kFirstRoundPause = Milliseconds(2);
-constexpr Duration kLongestRoundPause = Milliseconds(32);
+constexpr Duration kInitialRoundPause = Milliseconds(2);
+constexpr Duration kMaxRoundPause = Milliseconds(32);
 constexpr double kMedian = 0.5;
-/// Part of the extra-load budget that hedges may use when nothing is wrong.
+/// Fraction of the extra-load budget that hedges may use in normal operation.
 constexpr double kHedgeShare = 0.25;
 
 MissingReason ReasonOf(LeafStatus status) {
@@ -57,7 +58,7 @@
   }
 }
 
-bool RequestExecution::WantsShard(ShardId id) const {
+bool RequestExecution::IsRequested(ShardId id) const {
   const auto& wanted = request_.shards;
   return wanted.empty() || std::find(wanted.begin(), wanted.end(), id) != wanted.end();
 }
@@ -67,11 +68,11 @@
   shards_.clear();
   shard_of_.clear();
   covered_ = 0;
-  given_up_ = 0;
-  unpaid_ = 0;
-  held_nowhere_ = false;
+  abandoned_ = 0;
+  budget_denied_ = 0;
+  snapshot_unavailable_ = false;
   for (const config::Shard& shard : snapshot.shards) {
-    if (WantsShard(shard.id)) {
+    if (IsRequested(shard.id)) {
       ShardProgress& progress = shards_.emplace_back();
       progress.shard = shard;
     }
@@ -84,7 +85,7 @@
   for (ShardProgress& shard : shards_) {
     SetWaiting(&shard, false);
   }
-  // What was sent for the snapshot left behind has run, or may have.
+  // Sub-requests for the previous snapshot ran or may have run.
   run_before_restart_ = CurrentRunState();
   service_ = std::move(service);
   restarted_ = true;
@@ -112,12 +113,12 @@
       [](const Attempt& attempt) { return attempt.state == AttemptState::kPossiblyRunning; }));
 }
 
-void RequestExecution::GiveUp(ShardProgress* shard) {
-  shard->given_up = true;
-  ++given_up_;
-  held_nowhere_ |= shard->not_held >= shard->shard.replicas.size();
+void RequestExecution::AbandonShard(ShardProgress* shard) {
+  shard->abandoned = true;
+  ++abandoned_;
+  snapshot_unavailable_ |= shard->not_held >= shard->shard.replicas.size();
   SetWaiting(shard, false);
-  SetUnpaid(shard, false);
+  SetBudgetDenied(shard, false);
   if (options_.report_parts) {
     new_gaps_.push_back({shard->shard.id, shard->reason});
   }
@@ -136,12 +137,12 @@
 }
 
 void RequestExecution::AdvanceShard(Timestamp now, ShardProgress* shard) {
-  if (shard->covered || shard->given_up || now >= deadline_) {
+  if (shard->covered || shard->abandoned || now >= deadline_) {
     return;
   }
   if (FailedProbation()) {
     if (ActiveAttempts(*shard) == 0) {
-      GiveUp(shard);
+      AbandonShard(shard);
     }
   } else if (ActiveAttempts(*shard) == 0) {
     SendPrimaryOrRetry(now, shard);
@@ -169,13 +170,14 @@
 }
 
 bool RequestExecution::MayTryReplicasAgain(const ShardProgress& shard) const {
-  // Shedding passes; a lost connection may. What a leaf does not hold it will not hold soon.
-  const bool passing =
+  // Shedding is transient, and a lost connection may be. A leaf that does not hold the snapshot
+  // will not hold it soon.
+  const bool transient =
       shard.reason == MissingReason::kShed || shard.reason == MissingReason::kUnreachable;
-  return passing && shard.rounds < kMaxRounds;
+  return transient && shard.rounds < kMaxRounds;
 }
 
-bool RequestExecution::Held(const ShardProgress& shard) const {
+bool RequestExecution::IsHeld(const ShardProgress& shard) const {
   return options_.hold_attempts && PossibleRuns(shard) > 0;
 }
 
@@ -185,40 +187,41 @@
 }
 
 void RequestExecution::SendPrimaryOrRetry(Timestamp now, ShardProgress* shard) {
-  SetUnpaid(shard, false);
-  if (Held(*shard)) {
+  SetBudgetDenied(shard, false);
+  if (IsHeld(*shard)) {
     return;
   }
   const bool all_refused =
       std::all_of(shard->attempts.begin(), shard->attempts.end(),
                   [](const Attempt& attempt) { return attempt.state == AttemptState::kRefused; });
-  // Of unrepeatable work only attempts that provably never started may be followed by another.
+  // Unrepeatable work may only be retried if all earlier attempts provably never started.
   const bool may_follow = plan_.repeatable || all_refused;
-  // Beyond the usual number another leaf is tried at once or never: the caller is not kept waiting.
-  const bool none_left = RefusedOften(*shard) && !AnyUntriedReady(now, *shard);
-  if (!may_follow || !MayAttemptAgain(*shard) || none_left) {
-    GiveUp(shard);
+  // Beyond the maximum number of attempts, another leaf is tried only if one is ready, so that the
+  // caller is not kept waiting.
+  const bool no_leaf_ready = RefusalLimitReached(*shard) && !AnyUntriedReady(now, *shard);
+  if (!may_follow || !MayAttemptAgain(*shard) || no_leaf_ready) {
+    AbandonShard(shard);
     return;
   }
   if (now < shard->next_round) {
     return;
   }
   const bool exhausted = AllReplicasTriedOrLeaving(now, *shard);
-  // An untried replica that is ejected may stay so for long: the tried ones are asked again.
+  // An untried replica may stay ejected for long, so the tried replicas are retried.
   const bool others_unusable = !shard->tried.empty() && !AnyUntriedReady(now, *shard);
   if (exhausted || (others_unusable && MayTryReplicasAgain(*shard))) {
     if (shard->tried.empty()) {
       shard->reason = MissingReason::kLeaving;
     }
     if (!MayTryReplicasAgain(*shard)) {
-      GiveUp(shard);
+      AbandonShard(shard);
       return;
     }
     StartNextRound(now, shard);
     return;
   }
-  if (RefusedInPassing(*shard) && !WorthAskingAgain(now, *shard)) {
-    GiveUp(shard);
+  if (LastRefusalTransient(*shard) && !ShouldRetryRefused(now, *shard)) {
+    AbandonShard(shard);
     return;
   }
   const bool first = shard->attempts.empty() && !options_.charge_first;
@@ -226,45 +229,45 @@
                         : all_refused ? SendKind::kReplacement
                                       : SendKind::kExtra;
   const SendResult result = SendTo(now, shard, kind);
-  const bool denied = result == SendResult::kNoAllowance && RefusedInPassing(*shard);
-  if (denied || (result != SendResult::kSent && RefusedOften(*shard))) {
-    GiveUp(shard);
+  const bool retry_denied = result == SendResult::kBudgetDenied && LastRefusalTransient(*shard);
+  if (retry_denied || (result != SendResult::kSent && RefusalLimitReached(*shard))) {
+    AbandonShard(shard);
     return;
   }
-  SetUnpaid(shard, result == SendResult::kNoAllowance);
+  SetBudgetDenied(shard, result == SendResult::kBudgetDenied);
   SetWaiting(shard, result != SendResult::kSent);
 }
 
 void RequestExecution::StartNextRound(Timestamp now, ShardProgress* shard) {
   shard->tried.clear();
-  // Leafs without room need ever more time; the others may take the next one.
-  const int growth = RefusedInPassing(*shard) ? 0 : shard->rounds;
-  const Duration pause = kFirstRoundPause * (1 << growth);
-  shard->next_round = now + std::min(pause, kLongestRoundPause);
+  // The pause grows for leafs without room; others may accept the next attempt.
+  const int growth = LastRefusalTransient(*shard) ? 0 : shard->rounds;
+  const Duration pause = kInitialRoundPause * (1 << growth);
+  shard->next_round = now + std::min(pause, kMaxRoundPause);
   ++shard->rounds;
   SetWaiting(shard, true);
 }
 
 bool RequestExecution::OnProbation() const {
-  return !proven_ && (options_.on_probation || lost_ >= options_.losses_before_probation);
+  return !proven_harmless_ && (options_.on_probation || lost_ >= options_.losses_before_probation);
 }
 
 bool RequestExecution::MayProbe(Timestamp now) const {
-  size_t out = 0;
-  Timestamp last{};
+  size_t running = 0;
+  Timestamp last_sent{};
   for (const ShardProgress& shard : shards_) {
-    out += ActiveAttempts(shard);
+    running += ActiveAttempts(shard);
     if (!shard.attempts.empty()) {
-      last = std::max(last, shard.attempts.back().sent);
+      last_sent = std::max(last_sent, shard.attempts.back().sent);
     }
   }
-  // A leaf that stands still must not stop everything: one more may be tried beside it.
-  return out == 0 || (out == 1 && now - last >= HedgeDelay());
+  // A paused leaf must not block the request, so a second probe may run beside it.
+  return running == 0 || (running == 1 && now - last_sent >= HedgeDelay());
 }
 
-void RequestExecution::NoteLost(const Attempt& attempt) {
+void RequestExecution::RecordLost(const Attempt& attempt) {
   ++lost_;
-  probes_lost_ += attempt.probe && !proven_ ? 1 : 0;
+  probes_lost_ += attempt.probe && !proven_harmless_ ? 1 : 0;
 }
 
 RequestExecution::SendResult RequestExecution::SendTo(Timestamp now, ShardProgress* shard,
@@ -274,7 +277,7 @@
     return SendResult::kNoLeaf;
   }
   std::set<std::string> excluded = shard->tried;
-  const bool others_only = RefusedOften(*shard);
+  const bool others_only = RefusalLimitReached(*shard);
   for (const Attempt& attempt : shard->attempts) {
     if (others_only || attempt.state == AttemptState::kPossiblyRunning) {
       excluded.insert(attempt.leaf);
@@ -285,8 +288,8 @@
   if (!leaf.has_value()) {
     return SendResult::kNoLeaf;
   }
-  if (!MayPay(now, *shard, kind)) {
-    return SendResult::kNoAllowance;
+  if (!TryChargeBudget(now, *shard, kind)) {
+    return SendResult::kBudgetDenied;
   }
   if (kind == SendKind::kFirst) {
     BudgetOf(*shard)->OnRegular(now, plan_.extra_load);
@@ -311,7 +314,7 @@
   if (options_.fixed_hedge_delay.count() > 0) {
     return options_.fixed_hedge_delay;
   }
-  // Everyday hedges leave part of the budget for the moments when a replica stands still.
+  // In normal operation hedges leave part of the budget for the times when a replica is paused.
   const double quantile = std::max(plan_.hedge_quantile, 1 - kHedgeShare * plan_.extra_load);
   const Duration delay = context_.latencies->Quantile(quantile);
   if (options_.hedge_median_factor <= 0) {
@@ -322,11 +325,11 @@
 }
 
 void RequestExecution::MaybeHedge(Timestamp now, ShardProgress* shard) {
-  const bool single =
-      ActiveAttempts(*shard) == 1 && shard->shard.replicas.size() > 1 && !Held(*shard);
-  const bool due =
-      single && MayAttemptAgain(*shard) && now - shard->attempts.back().sent >= HedgeDelay();
-  if (due && WorthHedge(now, *shard)) {
+  const bool single_attempt =
+      ActiveAttempts(*shard) == 1 && shard->shard.replicas.size() > 1 && !IsHeld(*shard);
+  const bool due = single_attempt && MayAttemptAgain(*shard) &&
+                   now - shard->attempts.back().sent >= HedgeDelay();
+  if (due && MayHedge(now, *shard)) {
     SendTo(now, shard, SendKind::kExtra);
   }
 }
@@ -352,25 +355,26 @@
   const bool was_on_probation = OnProbation();
   if (reply.status == LeafStatus::kOk) {
     attempt->state = AttemptState::kDone;
-    proven_ = true;
+    proven_harmless_ = true;
     Merge(now, &shard, reply);
   } else {
     if (reply.connection_lost) {
-      NoteLost(*attempt);
+      RecordLost(*attempt);
     }
     const bool refused = ProvesNotRun(reply.status);
     attempt->state = refused                 ? AttemptState::kRefused
                      : reply.connection_lost ? AttemptState::kLost
                                              : AttemptState::kFailed;
-    attempt->passing = options_.ask_refusing_again && reply.status == LeafStatus::kShed &&
-                       !context_.pool->Crowded(reply.leaf);
-    Refused(&shard, reply);
+    attempt->transient_refusal = options_.ask_refusing_again && reply.status == LeafStatus::kShed &&
+                                 !context_.pool->Crowded(reply.leaf);
+    HandleRefusal(&shard, reply);
   }
   if (was_on_probation != OnProbation() || FailedProbation()) {
-    // What the other shards wait for has changed.
+    // The condition that the other shards wait for has changed.
     Advance(now);
   } else if (!answered_ && !needs_other_snapshot_) {
-    // Only this shard has changed: with hundreds of them, looking at all for each reply is dear.
+    // Only this shard has changed. Advancing all shards for each reply is expensive with hundreds
+    // of them.
     AdvanceShard(now, &shard);
     wake_ = std::min(wake_, ShardWake(now, shard));
     Evaluate(now);
@@ -404,7 +408,7 @@
   CancelOthers(now, shard, reply.id);
 }
 
-void RequestExecution::Refused(ShardProgress* shard, const LeafReply& reply) {
+void RequestExecution::HandleRefusal(ShardProgress* shard, const LeafReply& reply) {
   if (shard->covered) {
     return;
   }
@@ -420,14 +424,14 @@
 
 bool RequestExecution::Overdue(Timestamp now, const Attempt& attempt) const {
   const Duration expected = ExpectedLatency();
-  return expected.count() > 0 && now - attempt.sent >= std::max(expected * options_.overdue_factor,
-                                                                options_.overdue_minimum);
+  return expected.count() > 0 &&
+         now - attempt.sent >= std::max(expected * options_.overdue_factor, options_.min_overdue);
 }
 
 void RequestExecution::CancelOthers(Timestamp now, ShardProgress* shard, SubRequestId winner) {
   for (Attempt& attempt : shard->attempts) {
-    const bool loser = attempt.id != winner && attempt.state == AttemptState::kPossiblyRunning;
-    if (loser && options_.coverage_dedupe) {
+    const bool superseded = attempt.id != winner && attempt.state == AttemptState::kPossiblyRunning;
+    if (superseded && options_.coverage_dedupe) {
       actions_.cancels.push_back({attempt.id, attempt.leaf, {}, Overdue(now, attempt)});
       context_.pool->OnAbandoned(now, attempt.leaf, attempt.id, /*timed_out=*/false);
       attempt.state = AttemptState::kFailed;
@@ -435,14 +439,14 @@
   }
 }
 
-bool RequestExecution::PolicySaysAnswer(Timestamp now) {
+bool RequestExecution::PolicyAllowsAnswer(Timestamp now) {
   if (program_ == nullptr || !program_->has_decide()) {
     return now - started_ >= plan_.wait;
   }
   const Coverage coverage = CurrentCoverage();
   const policy::Progress progress{now - started_, coverage.share(), coverage.missing.size(),
                                   coverage.total()};
-  // A program that fails must not hold the request: what it asked for at least is reached.
+  // A failing program must not delay the answer, since its minimum coverage is reached.
   return program_->Decide(progress).value_or(true) || now - started_ >= plan_.wait;
 }
 
@@ -450,14 +454,14 @@
   if (answered_) {
     return;
   }
-  GiveUpUnpaid();
-  const size_t possible = shards_.size() - given_up_;
+  AbandonBudgetDenied();
+  const size_t possible = shards_.size() - abandoned_;
   const auto total = static_cast<double>(shards_.size());
   const bool restart_pays =
       now < started_ + std::chrono::duration_cast<Duration>(plan_.deadline * kRestartWindow);
   const bool may_restart =
       !restarted_ && plan_.repeatable && !request_.snapshot.has_value() && restart_pays;
-  if (held_nowhere_ && may_restart) {
+  if (snapshot_unavailable_ && may_restart) {
     needs_other_snapshot_ = true;
     return;
   }
@@ -467,7 +471,7 @@
   }
   const double share = static_cast<double>(covered_) / total;
   const bool enough = share + kCoverageEpsilon >= plan_.min_coverage;
-  // The policy's coverage is out of reach: the caller hears so now, not at the deadline.
+  // The coverage required by the policy is out of reach: answers now instead of at the deadline.
   const bool out_of_reach =
       plan_.repeatable &&
       static_cast<double>(possible) / total + kCoverageEpsilon < plan_.min_coverage;
@@ -475,20 +479,20 @@
     Finish(now, ResultCode::kCoverageNotReached);
   } else if (now >= deadline_) {
     Finish(now, ResultCode::kDeadlineExceeded);
-  } else if (enough && covered_ > 0 && plan_.repeatable && PolicySaysAnswer(now)) {
+  } else if (enough && covered_ > 0 && plan_.repeatable && PolicyAllowsAnswer(now)) {
     Finish(now, ResultCode::kPartial);
   }
 }
 
 void RequestExecution::Finish(Timestamp now, ResultCode failure) {
-  Answer answer = Snapshot(now);
-  answer.code = CodeAtEnd(answer.coverage, failure);
+  Answer answer = CurrentAnswer(now);
+  answer.code = FinalCode(answer.coverage, failure);
   answered_ = true;
   actions_.answer = std::move(answer);
   for (ShardProgress& shard : shards_) {
     SetWaiting(&shard, false);
   }
-  // Unrepeatable work is not cancelled: its outcome is still wanted for the ledger.
+  // Unrepeatable work is not cancelled, since its outcome is still needed for the ledger.
   if (plan_.repeatable) {
     AbandonAll(now, failure == ResultCode::kDeadlineExceeded);
   }
@@ -518,10 +522,10 @@
 ExecutionActions RequestExecution::TakeActions() { return std::exchange(actions_, {}); }
 
 Timestamp RequestExecution::ShardWake(Timestamp now, const ShardProgress& shard) const {
-  if (shard.covered || shard.given_up) {
+  if (shard.covered || shard.abandoned) {
     return deadline_;
   }
-  if (Held(shard)) {
+  if (IsHeld(shard)) {
     return deadline_;
   }
   const size_t active = ActiveAttempts(shard);
--- a/src/query/request_execution.h
+++ b/src/query/request_execution.h
@@ -1,6 +1,6 @@
-// One caller's request from admission to answer: pins a snapshot, sends a sub-request for every
-// shard, hedges and retries within the budget, merges replies, decides when to stop, and says
-// truthfully what is covered and what may have run. Events in, actions out.
+// Executes one request from admission to answer: pins a snapshot, sends a sub-request for every
+// shard, hedges and retries within the budget, merges replies, decides when to stop, and reports
+// which shards are covered and what may have run. Events in, actions out.
 #pragma once
 
 #include <functional>
@@ -23,71 +23,73 @@
 
 namespace pumicedyke::query {
 
-/// How a request is executed; the defaults are the product's. The other settings exist for
-/// baselines in benchmarks and for simulations that show what a check is for.
+/// Options for executing a request; the defaults are those of the product. Other values serve as
+/// baselines in benchmarks and in simulations that show what a check prevents.
 struct ExecutionOptions {
-  /// Replies computed on another snapshot than the pinned one are refused.
+  /// Rejects replies computed on another snapshot than the pinned one.
   bool snapshot_pin = true;
-  /// A shard's second reply is dropped.
+  /// Drops the second reply for a shard.
   bool coverage_dedupe = true;
-  /// Bytes handed to a connection count as possibly run.
+  /// Treats a request as possibly run once bytes were handed to the connection.
   bool sent_tracking = true;
-  /// The leaf's part of the deadline is shorter by this.
+  /// Subtracted from the remaining time to get the budget of the leaf.
   Duration hop = Milliseconds(1);
-  /// How often unsent sub-requests look for a free leaf, and a decide() program is asked.
+  /// Interval for retrying unsent sub-requests and for calling a decide() program.
   Duration poll = Milliseconds(2);
-  /// Leafs are compared by their latencies over the median of the requests of the same kind;
-  /// otherwise over one figure for all kinds.
+  /// Compares leafs by their latency relative to the median of requests of the same kind; otherwise
+  /// by one latency over all kinds.
   bool expect_median = false;
-  /// With `expect_median`: a sub-request out this many times longer than expected is overdue, but
-  /// not before it is out for `overdue_minimum`: stopping it costs the leaf a new connection.
+  /// With `expect_median`: a sub-request is overdue once it has been running for this many times
+  /// the expected latency, but not before `min_overdue`, since stopping it costs the leaf a new
+  /// connection.
   int overdue_factor = 2;
-  Duration overdue_minimum = Milliseconds(50);
-  /// A shard is asked a second time after this many times the median latency, if that comes before
-  /// the plan's quantile: a quantile lies among the slow leafs once there are enough of them. Zero:
-  /// by the quantile alone.
+  Duration min_overdue = Milliseconds(50);
+  /// Hedges after this many times the median latency, if that is earlier than the quantile of the
+  /// plan: with enough slow leafs the quantile is itself a slow latency. Zero: the quantile alone
+  /// decides.
   double hedge_median_factor = 0;
-  /// A sub-request that replaces a refused one is charged to the budget, too.
+  /// Also charges the budget for sub-requests that replace refused ones.
   bool charge_replacements = false;
-  /// A leaf that refused although it has room is asked again after a short pause, as long as the
-  /// budget and the order of spending (extra_order.h) allow it. For gathers, whose other shards may
-  /// have run meanwhile; otherwise the caller hears of the refusal at once.
+  /// Retries a leaf that refused although it has room after a short pause, as long as the budget
+  /// and its spending order (extra_order.h) allow it. For gathers, whose other shards may have run
+  /// meanwhile; otherwise the refusal is returned to the caller at once.
   bool ask_refusing_again = false;
-  /// With `ask_refusing_again`: this request's place among those that compete for the budget.
+  /// With `ask_refusing_again`: rank of this request among those that compete for the budget.
   double rank = 0;
-  /// With `ask_refusing_again`: shards that the request can do without.
+  /// With `ask_refusing_again`: shards that may stay without a result.
   size_t may_miss = 0;
-  /// Somebody else may have sent already: a shard's first sub-request is charged like a hedge.
+  /// Charges the first sub-request of a shard like a hedge, since another gateway may have sent one
+  /// already.
   bool charge_first = false;
-  /// Parts can be taken with TakeNewParts() as they come.
+  /// Makes shard results available through TakeNewParts() as they arrive.
   bool report_parts = false;
-  /// No shard is sent to again after an attempt that may have run, before ReleaseAttempts() is
+  /// Sends no further attempt for a shard after one that may have run, until ReleaseAttempts() is
   /// called.
   bool hold_attempts = false;
-  /// The request may be one that ends the leafs that run it: until one of them has answered, it is
-  /// tried at one after the other, and given up once it has lost `most_lost_probes` of these.
+  /// The request may crash the leafs that run it. Until a leaf has answered, sub-requests are sent
+  /// to one leaf after the other, and the request fails once `max_lost_probes` of them were lost.
   bool on_probation = false;
-  /// One may be lost by chance where connections break by themselves.
-  size_t most_lost_probes = 2;
-  /// Earlier attempts at the request lost runs with their leafs, and none has succeeded since: it
-  /// leaves part of the allowance to others.
+  /// Above one, since a single connection may break by chance.
+  size_t max_lost_probes = 2;
+  /// Earlier attempts of the request lost runs because their leafs disconnected, and none has
+  /// succeeded since: the request may use only part of the budget.
   bool accused = false;
-  /// It goes on probation by itself once its runs at this many leafs were lost and none succeeded.
+  /// The request is put on probation once its runs at this many leafs were lost and none succeeded.
   size_t losses_before_probation = 3;
-  /// Baseline: retries after this time-out without a budget; zero means off.
+  /// Baseline: retries after this timeout without a budget; zero means off.
   Duration naive_retry_timeout{};
   /// Baseline: hedges after this delay without a budget; zero means off.
   Duration fixed_hedge_delay{};
 };
 
-/// What the executions of one service on one node share.
+/// State shared by the executions of one service on one node.
 struct ServiceContext {
   balance::LeafPool* pool = nullptr;
   balance::ExtraLoadLimit* budget = nullptr;
   balance::LatencyTracker* latencies = nullptr;
   std::function<SubRequestId()> next_id;
-  /// Where each shard is a service of its own: its budget, in the order of the snapshot's shards.
-  /// Empty: all share `budget`.
+  /// Budgets of the shards where each shard is a service of its own, in the order of the shards of
+  /// the snapshot. Empty: all shards use `budget`.
   std::vector<balance::ExtraLoadLimit*> shard_budgets = {};
 };
 
@@ -95,7 +97,7 @@
   SubRequestId id;
   std::string leaf;
   std::string origin = {};
-  /// It is out for so long that its end is not near: stopping it frees more than it costs.
+  /// The sub-request is overdue: stopping it frees more than it costs.
   bool overdue = false;
 };
 
@@ -116,51 +118,54 @@
   RequestExecution(const RequestExecution&) = delete;
   RequestExecution& operator=(const RequestExecution&) = delete;
 
-  /// Sends what can be sent, hedges, and answers if it is time.
+  /// Sends what can be sent, hedges, and answers when it is due.
   void Advance(Timestamp now);
   void OnReply(Timestamp now, const LeafReply& reply);
-  /// Sends nothing more and answers with what there is; `code` says why if that is too little.
+  /// Stops sending and answers with the current results; `code` is the failure code if they are not
+  /// enough.
   void Stop(Timestamp now, ResultCode code);
   /// Ends `hold_attempts`.
   void ReleaseAttempts(Timestamp now);
 
-  /// True when every replica of a shard said that it does not hold the snapshot and the whole
-  /// request may start again on another one.
+  /// Returns true when every replica of a shard reported that it does not hold the snapshot, and
+  /// the whole request may restart on another snapshot.
   bool NeedsOtherSnapshot() const { return needs_other_snapshot_; }
   SnapshotId snapshot() const { return snapshot_id_; }
   const std::string& service_name() const { return request_.service; }
-  /// Drops everything merged so far and starts on `snapshot`; at most once.
+  /// Drops all merged results and starts on `snapshot`; at most once.
   void Restart(Timestamp now, std::shared_ptr<const config::Service> service,
                const config::PublishedSnapshot& snapshot);
 
-  /// There is no other snapshot to start on: goes on with what the pinned one gives.
+  /// Continues on the pinned snapshot because there is no other one to restart on.
   void DeclineRestart(Timestamp now);
 
   ExecutionActions TakeActions();
-  /// Parts that came since the last call; with `report_parts` only.
+  /// Returns the shard results since the last call; requires `report_parts`.
   std::vector<ShardPayload> TakeNewParts() { return std::exchange(new_parts_, {}); }
-  /// Shards that were given up since the last call; with `report_parts` only.
+  /// Returns the shards abandoned since the last call; requires `report_parts`.
   std::vector<MissingShard> TakeNewGaps() { return std::exchange(new_gaps_, {}); }
-  /// When Advance() must be called next, if no reply comes before.
+  /// Returns when Advance() must be called next if no reply arrives before.
   Timestamp NextWake(Timestamp now) const;
 
   bool answered() const { return answered_; }
-  /// Unrepeatable work: sub-requests without a known outcome after the answer went out.
+  /// Returns whether sub-requests of unrepeatable work have no known outcome yet after the answer
+  /// was sent.
   bool HasUnknownOutcome() const;
-  /// What is certain at this moment about the work.
+  /// Returns what is currently known about the execution of the work.
   RunState CurrentRunState() const;
-  /// The answer as it would be now; for the ledger's record of a late outcome.
-  Answer Snapshot(Timestamp now) const;
+  /// Returns the answer for the current state; also used for recording a late outcome in the
+  /// ledger.
+  Answer CurrentAnswer(Timestamp now) const;
   const policy::QueryPlan& plan() const { return plan_; }
-  /// Every sub-request so far, shard by shard.
+  /// Returns all sub-requests so far, ordered by shard.
   std::vector<AttemptRecord> Attempts() const;
   Timestamp started() const { return started_; }
   bool has_idempotency_key() const { return !request_.idempotency_key.empty(); }
-  /// Gives up what is still out, for instance when a late outcome is no longer waited for.
+  /// Abandons all running sub-requests, for instance when the wait for a late outcome ends.
   void AbandonAll(Timestamp now, bool timed_out);
 
  private:
-  /// Shares are compared with this much tolerance.
+  /// Tolerance for comparing coverage shares.
   static constexpr double kCoverageEpsilon = 1e-9;
 
   enum class AttemptState { kPossiblyRunning, kRefused, kFailed, kLost, kDone };
@@ -171,8 +176,8 @@
     AttemptState state = AttemptState::kPossiblyRunning;
     /// Sent on probation.
     bool probe = false;
-    /// It was refused by a leaf that has room and may take the next one.
-    bool passing = false;
+    /// Refused by a leaf with room, which may accept the next attempt.
+    bool transient_refusal = false;
   };
   struct ShardProgress {
     config::Shard shard;
@@ -182,67 +187,71 @@
     std::shared_ptr<const LeafPayload> payload;
     std::shared_ptr<const LeafPayload> failure;
     bool covered = false;
-    bool given_up = false;
+    bool abandoned = false;
     bool waiting = false;
-    /// Nothing is out, and nothing paid for another try when it was last asked.
-    bool unpaid = false;
+    /// No sub-request is running, and the budget denied the last attempt to send one.
+    bool budget_denied = false;
     MissingReason reason = MissingReason::kNotSent;
     size_t not_held = 0;
-    /// Times that every replica was tried in vain, and when to try them again.
+    /// Rounds in which all replicas were tried without success, and the start of the next one.
     int rounds = 0;
     Timestamp next_round{};
   };
 
   void PinSnapshot(const config::PublishedSnapshot& snapshot);
-  void GiveUp(ShardProgress* shard);
-  void SetUnpaid(ShardProgress* shard, bool unpaid);
-  /// Gives up what only more allowance could help, once nothing else is waited for: the caller's
-  /// next try is a first one, which needs none.
-  void GiveUpUnpaid();
+  void AbandonShard(ShardProgress* shard);
+  void SetBudgetDenied(ShardProgress* shard, bool budget_denied);
+  /// Abandons the shards that the budget denied once no other shard is pending. A retry by the
+  /// caller starts with first sub-requests, which need no budget.
+  void AbandonBudgetDenied();
   Timestamp ShardWake(Timestamp now, const ShardProgress& shard) const;
-  bool WantsShard(ShardId id) const;
+  bool IsRequested(ShardId id) const;
   void AdvanceShard(Timestamp now, ShardProgress* shard);
   enum class SendKind {
     kFirst,
-    /// After attempts that all provably never started.
+    /// Sent after attempts that all provably never started.
     kReplacement,
     /// A hedge, or a retry after an attempt that may have run.
     kExtra,
   };
-  enum class SendResult { kSent, kNoLeaf, kNoAllowance };
-  bool MayPay(Timestamp now, const ShardProgress& shard, SendKind kind) const;
+  enum class SendResult { kSent, kNoLeaf, kBudgetDenied };
+  bool TryChargeBudget(Timestamp now, const ShardProgress& shard, SendKind kind) const;
   balance::ExtraLoadLimit* BudgetOf(const ShardProgress& shard) const;
-  /// Attempts that ran or may have: the cap on attempts protects leafs from working twice, and one
-  /// that a leaf refused cost it no work.
+  /// Returns the number of attempts that ran or may have run. Refused attempts cost the leafs no
+  /// work, so the limit on attempts does not count them.
   static uint32_t PossibleRuns(const ShardProgress& shard);
   bool MayAttemptAgain(const ShardProgress& shard) const;
-  /// As many attempts were made as may run, and some of them were refused; those that a leaf with
-  /// room refused don't count.
-  bool RefusedOften(const ShardProgress& shard) const;
-  /// No leaf has answered it yet, and it may be what ends them.
+  /// Returns whether as many attempts were made as may run, some of which were refused. Transient
+  /// refusals are not counted.
+  bool RefusalLimitReached(const ShardProgress& shard) const;
+  /// Returns whether no leaf has answered yet and the request may crash leafs.
   bool OnProbation() const;
-  /// On probation, and another try may go out.
+  /// Returns whether another probe may be sent while on probation.
   bool MayProbe(Timestamp now) const;
-  void NoteLost(const Attempt& attempt);
-  /// Enough was tried on probation: nothing more is sent.
-  bool FailedProbation() const { return !proven_ && probes_lost_ >= options_.most_lost_probes; }
-  /// It was sent to once and must not be again yet.
-  bool Held(const ShardProgress& shard) const;
-  /// The order of spending holds for this shard: a leaf with room has refused it.
-  bool RefusedInPassing(const ShardProgress& shard) const;
-  /// Every leaf of the shard refuses often.
-  bool RefusedEverywhere(Timestamp now, const ShardProgress& shard) const;
-  /// Decides, when it is asked first, whether this request is paid for at such shards.
-  bool IsPaidFor(Timestamp now);
-  bool WorthAskingAgain(Timestamp now, const ShardProgress& shard);
-  bool WorthHedge(Timestamp now, const ShardProgress& shard) const;
-  /// Every replica was tried in vain: the next round comes after a pause.
+  void RecordLost(const Attempt& attempt);
+  /// Returns whether the maximum number of probes was lost: nothing more is sent.
+  bool FailedProbation() const {
+    return !proven_harmless_ && probes_lost_ >= options_.max_lost_probes;
+  }
+  /// Returns whether further attempts for the shard are held back (`hold_attempts`).
+  bool IsHeld(const ShardProgress& shard) const;
+  /// Returns whether the last attempt was refused by a leaf with room, so that retries follow the
+  /// spending order.
+  bool LastRefusalTransient(const ShardProgress& shard) const;
+  /// Returns whether every leaf of the shard refuses often.
+  bool AllReplicasRefuseOften(Timestamp now, const ShardProgress& shard) const;
+  /// Returns whether this request qualifies for the budget of such shards; decided at the first
+  /// call.
+  bool QualifiesForBudget(Timestamp now);
+  bool ShouldRetryRefused(Timestamp now, const ShardProgress& shard);
+  bool MayHedge(Timestamp now, const ShardProgress& shard) const;
+  /// Starts the next round over the replicas, after a pause.
   void StartNextRound(Timestamp now, ShardProgress* shard);
   SendResult SendTo(Timestamp now, ShardProgress* shard, SendKind kind);
   void SendPrimaryOrRetry(Timestamp now, ShardProgress* shard);
   void MaybeHedge(Timestamp now, ShardProgress* shard);
   void MaybeNaiveRetry(Timestamp now, ShardProgress* shard);
-  /// How long a sub-request of this kind usually takes; zero: not known here.
+  /// Returns the usual latency of a sub-request of this kind; zero if unknown.
   Duration ExpectedLatency() const;
   Duration HedgeDelay() const;
   bool Overdue(Timestamp now, const Attempt& attempt) const;
@@ -252,12 +261,12 @@
   bool MayTryReplicasAgain(const ShardProgress& shard) const;
   size_t ActiveAttempts(const ShardProgress& shard) const;
   void Merge(Timestamp now, ShardProgress* shard, const LeafReply& reply);
-  void Refused(ShardProgress* shard, const LeafReply& reply);
+  void HandleRefusal(ShardProgress* shard, const LeafReply& reply);
   void CancelOthers(Timestamp now, ShardProgress* shard, SubRequestId winner);
   void Evaluate(Timestamp now);
-  bool PolicySaysAnswer(Timestamp now);
+  bool PolicyAllowsAnswer(Timestamp now);
   void Finish(Timestamp now, ResultCode failure);
-  ResultCode CodeAtEnd(const Coverage& coverage, ResultCode failure) const;
+  ResultCode FinalCode(const Coverage& coverage, ResultCode failure) const;
   Coverage CurrentCoverage() const;
 
   CallerRequest request_;
@@ -270,17 +279,18 @@
   Timestamp deadline_;
   SnapshotId snapshot_id_;
   std::vector<ShardProgress> shards_;
-  /// Which shard an id was sent for; ids of an earlier snapshot are gone from here.
+  /// Index of the shard that a sub-request was sent for; sub-requests of an earlier snapshot are
+  /// removed.
   std::map<SubRequestId, size_t> shard_of_;
   size_t covered_ = 0;
-  size_t given_up_ = 0;
-  /// Shards that wait for allowance alone.
-  size_t unpaid_ = 0;
-  /// Shards that were given up for lack of it.
-  uint32_t given_up_unpaid_ = 0;
+  size_t abandoned_ = 0;
+  /// Shards that wait only for budget.
+  size_t budget_denied_ = 0;
+  /// Shards abandoned because the budget denied a sub-request.
+  uint32_t abandoned_for_budget_ = 0;
   /// No replica of some shard holds the pinned snapshot.
-  bool held_nowhere_ = false;
-  /// When some shard may have to be looked at again; may be too early, never too late.
+  bool snapshot_unavailable_ = false;
+  /// Lower bound of the time at which a shard must be advanced next.
   Timestamp wake_{};
   uint32_t sent_ = 0;
   uint32_t extra_ = 0;
@@ -288,15 +298,15 @@
   RunState run_before_restart_ = RunState::kNotRun;
   bool needs_other_snapshot_ = false;
   bool answered_ = false;
-  /// A leaf has answered with success: the request does leafs no harm.
-  bool proven_ = false;
-  /// Runs whose leaf's connection ended without an answer.
+  /// A leaf has answered successfully, so the request does not crash leafs.
+  bool proven_harmless_ = false;
+  /// Runs whose connection to the leaf closed without a response.
   size_t lost_ = 0;
-  /// Those among them that were tries on probation.
+  /// Those among them that were probes.
   size_t probes_lost_ = 0;
   ExecutionActions actions_;
-  /// What IsPaidFor() decided.
-  std::optional<bool> paid_for_;
+  /// Cached result of QualifiesForBudget().
+  std::optional<bool> qualifies_for_budget_;
   std::vector<ShardPayload> new_parts_;
   std::vector<MissingShard> new_gaps_;
 };
--- a/src/query/shared_gather.cc
+++ b/src/query/shared_gather.cc
@@ -6,7 +6,7 @@
 namespace pumicedyke::query {
 namespace {
 
-/// Shares are compared with this much tolerance.
+/// Tolerance for comparing coverage shares.
 constexpr double kCoverageEpsilon = 1e-9;
 
 }  // namespace
@@ -31,9 +31,10 @@
 
 SharedGatherActions SharedGather::TakeActions() { return std::exchange(actions_, {}); }
 
-bool SharedGather::Silent(Timestamp now, const Question& question) const {
-  const bool accepted = question.state == QuestionState::kAccepted;
-  return now - question.heard >= (accepted ? options_.silence_limit : options_.accept_patience);
+bool SharedGather::IsSilent(Timestamp now, const PartialQuery& partial_query) const {
+  const bool accepted = partial_query.state == PartialQueryState::kAccepted;
+  return now - partial_query.last_contact >=
+         (accepted ? options_.silence_limit : options_.accept_patience);
 }
 
 void SharedGather::Advance(Timestamp now) {
@@ -43,19 +44,19 @@
   Evaluate(now);
 }
 
-SharedGather::Question* SharedGather::WorkingOf(Group* group) {
-  for (Question& question : group->questions) {
-    if (question.open() && !question.stand_by) {
-      return &question;
+SharedGather::PartialQuery* SharedGather::WorkingQuery(Group* group) {
+  for (PartialQuery& partial_query : group->partial_queries) {
+    if (partial_query.open() && !partial_query.stand_by) {
+      return &partial_query;
     }
   }
   return nullptr;
 }
 
-SharedGather::Question* SharedGather::StandByOf(Group* group) {
-  for (Question& question : group->questions) {
-    if (question.open() && question.stand_by) {
-      return &question;
+SharedGather::PartialQuery* SharedGather::StandbyQuery(Group* group) {
+  for (PartialQuery& partial_query : group->partial_queries) {
+    if (partial_query.open() && partial_query.stand_by) {
+      return &partial_query;
     }
   }
   return nullptr;
@@ -66,195 +67,199 @@
   if (group.ended || now >= deadline_) {
     return;
   }
-  if (Question* ready = StandByOf(&group); ready != nullptr && Silent(now, *ready)) {
-    // It never began: no attempt is lost.
-    actions_.silent.push_back(ready->merger);
-    actions_.cancels.push_back({ready->id, ready->merger, /*stop_work=*/true});
-    ready->state = QuestionState::kUnused;
+  if (PartialQuery* standby = StandbyQuery(&group); standby != nullptr && IsSilent(now, *standby)) {
+    // It was not confirmed, so it used no attempt.
+    actions_.silent.push_back(standby->merger);
+    actions_.cancels.push_back({standby->id, standby->merger, /*stop_work=*/true});
+    standby->state = PartialQueryState::kUnused;
   }
-  Question* working = WorkingOf(&group);
-  if (working != nullptr && !Silent(now, *working)) {
+  PartialQuery* working = WorkingQuery(&group);
+  if (working != nullptr && !IsSilent(now, *working)) {
     return;
   }
-  if (working != nullptr && working->state == QuestionState::kAccepted) {
-    Replace(&group, working);
+  if (working != nullptr && working->state == PartialQueryState::kAccepted) {
+    AbandonMerger(&group, working);
     working = nullptr;
   }
-  if (StandByOf(&group) != nullptr) {
+  if (StandbyQuery(&group) != nullptr) {
     return;
   }
-  // Asking adds a question, which may move the others.
-  const std::string slow = working == nullptr ? "" : working->merger;
-  if (Ask(now, index)) {
-    if (!slow.empty()) {
-      actions_.silent.push_back(slow);
+  // Sending adds a partial query, which may move the others in memory.
+  const std::string slow_merger = working == nullptr ? "" : working->merger;
+  if (SendPartialQuery(now, index)) {
+    if (!slow_merger.empty()) {
+      actions_.silent.push_back(slow_merger);
     }
     return;
   }
-  // Nobody else is there. One that has not accepted may be slow only; a silence proves nothing.
-  const bool may_still_speak = working != nullptr && now - working->heard < options_.silence_limit;
-  if (may_still_speak) {
+  // No other merger is available. One that has not accepted may only be slow; silence does not
+  // prove that it stopped.
+  const bool may_still_answer =
+      working != nullptr && now - working->last_contact < options_.silence_limit;
+  if (may_still_answer) {
     return;
   }
   if (working != nullptr) {
-    Replace(&group, working);
+    AbandonMerger(&group, working);
   }
-  End(&group);
+  EndGroup(&group);
 }
 
-void SharedGather::GiveUpOn(Group* group, Question* question) {
-  const bool accepted = question->state == QuestionState::kAccepted;
-  group->attempts_used += accepted ? question->max_attempts : 1;
-  question->state = QuestionState::kLost;
+void SharedGather::MarkLost(Group* group, PartialQuery* partial_query) {
+  const bool accepted = partial_query->state == PartialQueryState::kAccepted;
+  group->attempts_used += accepted ? partial_query->max_attempts : 1;
+  partial_query->state = PartialQueryState::kLost;
   unknown_ = true;
 }
 
-void SharedGather::Replace(Group* group, Question* question) {
-  actions_.silent.push_back(question->merger);
-  actions_.cancels.push_back({question->id, question->merger, /*stop_work=*/true});
-  GiveUpOn(group, question);
+void SharedGather::AbandonMerger(Group* group, PartialQuery* partial_query) {
+  actions_.silent.push_back(partial_query->merger);
+  actions_.cancels.push_back({partial_query->id, partial_query->merger, /*stop_work=*/true});
+  MarkLost(group, partial_query);
 }
 
-bool SharedGather::Ask(Timestamp now, size_t index) {
+bool SharedGather::SendPartialQuery(Timestamp now, size_t index) {
   Group& group = groups_[index];
-  const bool works = WorkingOf(&group) != nullptr;
-  const uint32_t most = std::max(1U, plan_.max_attempts);
-  // One that works and is not heard of counts as having sent once.
-  const uint32_t used = group.attempts_used + (works ? 1 : 0);
-  const bool stand_by = used > 0;
-  const bool may_ask = used < most && group.questions.size() < options_.most_mergers;
+  const bool has_working = WorkingQuery(&group) != nullptr;
+  const uint32_t max_attempts = std::max(1U, plan_.max_attempts);
+  // A merger that was asked and has not answered counts as having sent once.
+  const uint32_t attempts_used = group.attempts_used + (has_working ? 1 : 0);
+  const bool stand_by = attempts_used > 0;
+  const bool may_ask =
+      attempts_used < max_attempts && group.partial_queries.size() < options_.max_mergers;
   const std::optional<std::string> merger =
       may_ask ? choose_(now, index, group.tried) : std::nullopt;
   if (!merger.has_value()) {
     return false;
   }
   const uint64_t id = next_id_();
-  const uint32_t attempts = most - used;
+  const uint32_t attempts = max_attempts - attempts_used;
   group.tried.insert(*merger);
-  group.questions.push_back(
-      {id, index, *merger, attempts, now, now, QuestionState::kAsked, stand_by});
+  group.partial_queries.push_back(
+      {id, index, *merger, attempts, now, now, PartialQueryState::kSent, stand_by});
   group_of_[id] = index;
   actions_.questions.push_back({id, index, *merger, attempts, /*again=*/stand_by, stand_by});
   return true;
 }
 
-void SharedGather::Accept(Timestamp now, Group* group, Question* question) {
-  question->accepted = now;
-  if (question->stand_by) {
-    if (Question* slow = WorkingOf(group); slow != nullptr) {
-      Replace(group, slow);
+void SharedGather::Accept(Timestamp now, Group* group, PartialQuery* partial_query) {
+  partial_query->accepted = now;
+  if (partial_query->stand_by) {
+    if (PartialQuery* slow_merger = WorkingQuery(group); slow_merger != nullptr) {
+      AbandonMerger(group, slow_merger);
     }
-    question->stand_by = false;
-    actions_.confirmations.push_back({question->id, question->merger});
+    partial_query->stand_by = false;
+    actions_.confirmations.push_back({partial_query->id, partial_query->merger});
   } else {
-    if (Question* ready = StandByOf(group); ready != nullptr) {
-      actions_.cancels.push_back({ready->id, ready->merger, /*stop_work=*/true});
-      ready->state = QuestionState::kUnused;
+    if (PartialQuery* standby = StandbyQuery(group); standby != nullptr) {
+      actions_.cancels.push_back({standby->id, standby->merger, /*stop_work=*/true});
+      standby->state = PartialQueryState::kUnused;
     }
-    if (question->max_attempts > 1) {
-      actions_.confirmations.push_back({question->id, question->merger});
+    if (partial_query->max_attempts > 1) {
+      actions_.confirmations.push_back({partial_query->id, partial_query->merger});
     }
   }
-  question->state = QuestionState::kAccepted;
+  partial_query->state = PartialQueryState::kAccepted;
 }
 
-void SharedGather::End(Group* group) {
+void SharedGather::EndGroup(Group* group) {
   group->ended = true;
   for (size_t i = 0; i < group->shards.count; ++i) {
     Shard& shard = shards_[group->shards.first + i];
-    Lose(&shard);
-    const bool untold = !shard.covered && shard.reason == MissingReason::kNotSent;
-    if (untold && !group->questions.empty()) {
+    MarkMissing(&shard);
+    const bool no_reason = !shard.covered && shard.reason == MissingReason::kNotSent;
+    if (no_reason && !group->partial_queries.empty()) {
       shard.reason = MissingReason::kUnreachable;
     }
   }
 }
 
-void SharedGather::Lose(Shard* shard) {
-  lost_ += shard->covered || shard->lost ? 0 : 1;
-  shard->lost = !shard->covered;
+void SharedGather::MarkMissing(Shard* shard) {
+  missing_ += shard->covered || shard->missing ? 0 : 1;
+  shard->missing = !shard->covered;
 }
 
-void SharedGather::Cover(Shard* shard) {
+void SharedGather::MarkCovered(Shard* shard) {
   covered_ += shard->covered ? 0 : 1;
-  lost_ -= shard->lost ? 1 : 0;
+  missing_ -= shard->missing ? 1 : 0;
   shard->covered = true;
-  shard->lost = false;
+  shard->missing = false;
 }
 
-SharedGather::Question* SharedGather::FindOpen(uint64_t id) {
+SharedGather::PartialQuery* SharedGather::FindOpen(uint64_t id) {
   const auto found = group_of_.find(id);
   if (found == group_of_.end() || answered_) {
     return nullptr;
   }
-  for (Question& question : groups_[found->second].questions) {
-    if (question.id == id && question.open()) {
-      return &question;
+  for (PartialQuery& partial_query : groups_[found->second].partial_queries) {
+    if (partial_query.id == id && partial_query.open()) {
+      return &partial_query;
     }
   }
   return nullptr;
 }
 
-void SharedGather::OnWord(Timestamp now, const wire::PartialAnswer& word) {
-  Question* question = FindOpen(word.id);
-  if (question == nullptr) {
+void SharedGather::OnWord(Timestamp now, const wire::PartialAnswer& answer) {
+  PartialQuery* partial_query = FindOpen(answer.id);
+  if (partial_query == nullptr) {
     return;
   }
-  Group& group = groups_[question->group];
-  question->heard = now;
-  switch (word.stage) {
+  Group& group = groups_[partial_query->group];
+  partial_query->last_contact = now;
+  switch (answer.stage) {
     case wire::PartialStage::kRefused:
-      // One that had confirmed may have sent meanwhile.
-      if (question->state == QuestionState::kAccepted) {
-        GiveUpOn(&group, question);
+      // A merger that was confirmed may have sent meanwhile.
+      if (partial_query->state == PartialQueryState::kAccepted) {
+        MarkLost(&group, partial_query);
       }
-      question->state = QuestionState::kRefused;
-      AdvanceGroup(now, question->group);
+      partial_query->state = PartialQueryState::kRefused;
+      AdvanceGroup(now, partial_query->group);
       break;
     case wire::PartialStage::kDone:
-      if (question->state == QuestionState::kAsked) {
-        Accept(now, &group, question);
+      if (partial_query->state == PartialQueryState::kSent) {
+        Accept(now, &group, partial_query);
       }
-      question->state = QuestionState::kDone;
-      TakeParts(now, group, word);
-      ran_ |= word.run == static_cast<uint32_t>(RunState::kRan);
-      unknown_ |= word.run == static_cast<uint32_t>(RunState::kUnknown);
-      End(&group);
+      partial_query->state = PartialQueryState::kDone;
+      MergePartialAnswer(now, group, answer);
+      ran_ |= answer.run == static_cast<uint32_t>(RunState::kRan);
+      unknown_ |= answer.run == static_cast<uint32_t>(RunState::kUnknown);
+      EndGroup(&group);
       break;
     default:
-      if (question->state == QuestionState::kAsked) {
-        Accept(now, &group, question);
+      if (partial_query->state == PartialQueryState::kSent) {
+        Accept(now, &group, partial_query);
       }
-      TakeParts(now, group, word);
+      MergePartialAnswer(now, group, answer);
       break;
   }
   Evaluate(now);
 }
 
-void SharedGather::TakeParts(Timestamp now, const Group& group, const wire::PartialAnswer& word) {
+void SharedGather::MergePartialAnswer(Timestamp now, const Group& group,
+                                      const wire::PartialAnswer& answer) {
   const size_t before = covered_;
-  for (const wire::PartialPart& part : word.parts) {
+  for (const wire::PartialPart& part : answer.parts) {
     if (part.shard >= group.shards.count) {
       continue;
     }
-    Cover(&shards_[group.shards.first + part.shard]);
+    MarkCovered(&shards_[group.shards.first + part.shard]);
     outcome_.signatures.push_back(part.signature);
     ran_ = true;
   }
   if (covered_ > before) {
     arrivals_.push_back({now - started_, covered_ - before});
   }
-  for (const wire::PartialGap& gap : word.gaps) {
+  for (const wire::PartialGap& gap : answer.gaps) {
     if (gap.shard < group.shards.count) {
       Shard& shard = shards_[group.shards.first + gap.shard];
       shard.reason = static_cast<MissingReason>(gap.reason);
-      Lose(&shard);
+      MarkMissing(&shard);
     }
   }
-  if (!word.records.empty()) {
-    outcome_.records.push_back(word.records);
+  if (!answer.records.empty()) {
+    outcome_.records.push_back(answer.records);
   }
-  outcome_.extra += word.extra;
+  outcome_.extra += answer.extra;
 }
 
 void SharedGather::OnMergerLost(Timestamp now, const std::string& merger) {
@@ -263,26 +268,26 @@
     if (group.ended) {
       continue;
     }
-    bool lost = false;
-    for (Question& question : group.questions) {
-      if (!question.open() || question.merger != merger) {
+    bool merger_lost = false;
+    for (PartialQuery& partial_query : group.partial_queries) {
+      if (!partial_query.open() || partial_query.merger != merger) {
         continue;
       }
-      lost = true;
-      if (question.stand_by) {
-        question.state = QuestionState::kUnused;
+      merger_lost = true;
+      if (partial_query.stand_by) {
+        partial_query.state = PartialQueryState::kUnused;
       } else {
-        GiveUpOn(&group, &question);
+        MarkLost(&group, &partial_query);
       }
     }
-    if (lost) {
+    if (merger_lost) {
       AdvanceGroup(now, i);
     }
   }
   Evaluate(now);
 }
 
-bool SharedGather::Enough() const {
+bool SharedGather::HasMinCoverage() const {
   const double share = static_cast<double>(covered_) / static_cast<double>(shards_.size());
   return covered_ > 0 && share + kCoverageEpsilon >= plan_.min_coverage;
 }
@@ -291,7 +296,7 @@
   if (answered_) {
     return;
   }
-  const size_t possible = shards_.size() - lost_;
+  const size_t possible = shards_.size() - missing_;
   const bool out_of_reach =
       static_cast<double>(possible) / static_cast<double>(shards_.size()) + kCoverageEpsilon <
       plan_.min_coverage;
@@ -301,7 +306,7 @@
     Finish(ResultCode::kCoverageNotReached);
   } else if (now >= deadline_) {
     Finish(ResultCode::kDeadlineExceeded);
-  } else if (Enough() && IsDue(now)) {
+  } else if (HasMinCoverage() && IsDue(now)) {
     Finish(ResultCode::kPartial);
   }
 }
@@ -322,20 +327,21 @@
     }
   }
   for (const Group& group : groups_) {
-    for (const Question& question : group.questions) {
-      unknown_ |= question.open() && !question.stand_by;
+    for (const PartialQuery& partial_query : group.partial_queries) {
+      unknown_ |= partial_query.open() && !partial_query.stand_by;
     }
   }
-  const bool whole = outcome_.missing.empty();
-  outcome_.code = whole ? ResultCode::kOk : Enough() ? ResultCode::kPartial : failure;
-  outcome_.run = unknown_ && !whole ? RunState::kUnknown
-                 : ran_             ? RunState::kRan
-                                    : RunState::kNotRun;
+  const bool complete = outcome_.missing.empty();
+  outcome_.code = complete ? ResultCode::kOk : HasMinCoverage() ? ResultCode::kPartial : failure;
+  outcome_.run = unknown_ && !complete ? RunState::kUnknown
+                 : ran_                ? RunState::kRan
+                                       : RunState::kNotRun;
   actions_.outcome = std::move(outcome_);
   for (const Group& group : groups_) {
-    for (const Question& question : group.questions) {
-      if (question.open()) {
-        actions_.cancels.push_back({question.id, question.merger, question.stand_by});
+    for (const PartialQuery& partial_query : group.partial_queries) {
+      if (partial_query.open()) {
+        actions_.cancels.push_back(
+            {partial_query.id, partial_query.merger, partial_query.stand_by});
       }
     }
   }
@@ -344,29 +350,31 @@
 void SharedGather::AbandonAll() {
   answered_ = true;
   for (const Group& group : groups_) {
-    for (const Question& question : group.questions) {
-      if (question.open()) {
-        actions_.cancels.push_back({question.id, question.merger, /*stop_work=*/true});
+    for (const PartialQuery& partial_query : group.partial_queries) {
+      if (partial_query.open()) {
+        actions_.cancels.push_back({partial_query.id, partial_query.merger, /*stop_work=*/true});
       }
     }
   }
 }
 
 Timestamp SharedGather::GroupWake(Timestamp now, const Group& group) const {
-  const bool stands_by = std::any_of(group.questions.begin(), group.questions.end(),
-                                     [](const Question& q) { return q.open() && q.stand_by; });
+  const bool has_standby =
+      std::any_of(group.partial_queries.begin(), group.partial_queries.end(),
+                  [](const PartialQuery& q) { return q.open() && q.stand_by; });
   Timestamp wake = deadline_;
-  for (const Question& question : group.questions) {
-    if (!question.open()) {
+  for (const PartialQuery& partial_query : group.partial_queries) {
+    if (!partial_query.open()) {
       continue;
     }
-    const bool accepted = question.state == QuestionState::kAccepted;
-    const Timestamp slow = question.heard + options_.accept_patience;
-    const Timestamp silent = question.heard + options_.silence_limit;
-    const bool known_slow = !accepted && !question.stand_by && slow <= now;
-    // Of one that is known to be slow nothing is decided before another one has spoken or not.
-    if (!known_slow || !stands_by) {
-      wake = std::min(wake, accepted || known_slow ? silent : slow);
+    const bool accepted = partial_query.state == PartialQueryState::kAccepted;
+    const Timestamp slow_at = partial_query.last_contact + options_.accept_patience;
+    const Timestamp silent_at = partial_query.last_contact + options_.silence_limit;
+    const bool known_slow = !accepted && !partial_query.stand_by && slow_at <= now;
+    // Nothing is decided about a slow merger before the merger on standby has answered or timed
+    // out.
+    if (!known_slow || !has_standby) {
+      wake = std::min(wake, accepted || known_slow ? silent_at : slow_at);
     }
   }
   return wake;
@@ -387,17 +395,17 @@
 }
 
 std::vector<QuestionRecord> SharedGather::Questions() const {
-  const auto name_of = [](QuestionState state) {
+  const auto name_of = [](PartialQueryState state) {
     switch (state) {
-      case QuestionState::kAsked:
+      case PartialQueryState::kSent:
         return "asked";
-      case QuestionState::kAccepted:
+      case PartialQueryState::kAccepted:
         return "accepted";
-      case QuestionState::kDone:
+      case PartialQueryState::kDone:
         return "done";
-      case QuestionState::kRefused:
+      case PartialQueryState::kRefused:
         return "refused";
-      case QuestionState::kUnused:
+      case PartialQueryState::kUnused:
         return "unused";
       default:
         return "lost";
@@ -405,15 +413,15 @@
   };
   std::vector<QuestionRecord> records;
   for (const Group& group : groups_) {
-    for (const Question& question : group.questions) {
+    for (const PartialQuery& partial_query : group.partial_queries) {
       QuestionRecord& record = records.emplace_back();
-      record.group = question.group;
-      record.merger = question.merger;
-      record.sent = question.sent - started_;
-      if (question.accepted.has_value()) {
-        record.accepted_after = *question.accepted - question.sent;
+      record.group = partial_query.group;
+      record.merger = partial_query.merger;
+      record.sent = partial_query.sent - started_;
+      if (partial_query.accepted.has_value()) {
+        record.accepted_after = *partial_query.accepted - partial_query.sent;
       }
-      record.state = name_of(question.state);
+      record.state = name_of(partial_query.state);
     }
   }
   return records;
--- a/src/query/shared_gather.h
+++ b/src/query/shared_gather.h
@@ -1,14 +1,16 @@
-// A request over many shards that several gateways work on together: the shards are cut into
-// groups, each is asked of one merging gateway, and the partial answers make one. This is the side
-// of the gateway that the client reached. Events in, actions out; no socket, clock or thread.
+// A request over many shards that several gateways execute together. The shards are divided into
+// groups, each group is sent as a partial query to one merging gateway, and the partial answers are
+// combined. This is the side of the gateway that the client is connected to. Events in, actions
+// out; no socket, clock or thread.
 //
-// Why nothing runs too often although a merger may die, freeze or be slow at any moment: the first
-// merger of a group accepts its question, and sends to each shard once; it sends again only after
-// it was confirmed that its word has come. While it is not heard of, others are asked to be ready:
-// they accept, too, but send nothing before they are confirmed, so that as many may be asked as
-// there are and none costs an attempt. The first that speaks gets the group: the one that was asked
-// first goes on with all attempts; one that stands ready is confirmed with an attempt less, and the
-// first is never confirmed any more. After a confirmation all attempts count as used.
+// The limit on attempts per shard holds although a merger may stop, freeze or be slow at any time.
+// The first merger of a group accepts its partial query and sends once to each shard; it sends
+// again only after its acceptance was confirmed. If it does not answer, other mergers are put on
+// standby: they accept as well, but send nothing before they are confirmed, so that any number of
+// them may be asked without using up an attempt. The first merger to answer gets the group. If that
+// is the first merger, it goes on with all attempts. If it is one on standby, it is confirmed with
+// one attempt less, and the first merger is never confirmed any more. After a confirmation all
+// attempts count as used.
 #pragma once
 
 #include <cstdint>
@@ -29,30 +31,30 @@
 
 namespace pumicedyke::query {
 
-/// Consecutive shards of a request, by their place in its document.
+/// Consecutive shards of a request, by their index in its document.
 struct ShardRange {
   size_t first = 0;
   size_t count = 0;
 };
 
 struct SharedGatherOptions {
-  /// A merger that has not accepted the question by then is slow or gone: another is asked to be
-  /// ready.
+  /// A merger that has not accepted the partial query within this time is slow or stopped: another
+  /// one is put on standby.
   Duration accept_patience = Milliseconds(20);
-  /// One that has, and then says nothing for this long, is given up on, too. Mergers speak at least
-  /// every GatewayKnobs::sign_of_life.
+  /// A merger that has accepted and then sends nothing for this long is abandoned. Mergers send a
+  /// message at least every GatewayKnobs::sign_of_life.
   Duration silence_limit = Milliseconds(200);
-  /// Mergers asked in turn for one group.
-  size_t most_mergers = 5;
+  /// Maximum number of mergers tried for one group.
+  size_t max_mergers = 5;
 };
 
-/// One group, asked of one merger.
+/// Partial query for one group, to be sent to one merger.
 struct GroupQuestion {
   uint64_t id = 0;
   size_t group = 0;
   std::string merger;
   uint32_t max_attempts = 1;
-  /// Another merger was asked before and may have sent.
+  /// Another merger received the group before and may have sent sub-requests.
   bool again = false;
   /// Nothing may be sent before the confirmation.
   bool stand_by = false;
@@ -69,12 +71,12 @@
   std::string merger;
 };
 
-/// The whole answer, once there is one.
+/// The combined answer.
 struct SharedOutcome {
   ResultCode code = ResultCode::kInternal;
   RunState run = RunState::kNotRun;
   std::vector<std::string> signatures;
-  /// Greatest records of each partial answer.
+  /// The top records of each partial answer.
   std::vector<std::string> records;
   std::vector<MissingShard> missing;
   uint32_t extra = 0;
@@ -82,122 +84,122 @@
 
 struct SharedGatherActions {
   std::vector<GroupQuestion> questions;
-  /// Questions that were accepted in time.
+  /// Partial queries that were accepted in time.
   std::vector<GroupConfirmation> confirmations;
   std::vector<GroupCancel> cancels;
-  /// Mergers that were given up on.
+  /// Mergers that were abandoned because they did not answer.
   std::vector<std::string> silent;
   std::optional<SharedOutcome> outcome;
 };
 
-/// What became of one question, for whoever explains the request afterwards.
+/// Outcome of one partial query, for logs and diagnostics.
 struct QuestionRecord {
   size_t group = 0;
   std::string merger;
   Duration sent{};
-  /// After what its first word came; unset: none came.
+  /// Time until the first message of the merger; unset: none arrived.
   std::optional<Duration> accepted_after;
   /// "asked", "accepted", "done", "refused", "unused" or "lost".
   const char* state = "";
 };
 
-/// Lives on the event loop's thread.
+/// Used on the event loop's thread only.
 class SharedGather {
  public:
-  /// @return who is to merge a group, none of `tried`; unset: nobody can.
+  /// @return the merger for a group, none of `tried`; unset: none is available.
   using ChooseCb = std::function<std::optional<std::string>(Timestamp now, size_t group,
                                                             const std::set<std::string>& tried)>;
   using NextIdCb = std::function<uint64_t()>;
-  /// @return when an answer goes out that may and lacks parts, counted from the start, if so many
-  /// shards are covered `elapsed` after it and nothing more comes.
-  using DueCb = std::function<Duration(Duration elapsed, size_t covered)>;
+  /// @return when an answer with missing shard results is sent, since the start, if `covered`
+  /// shards are covered after `elapsed` and no more results arrive.
+  using AnswerTimeCb = std::function<Duration(Duration elapsed, size_t covered)>;
 
   /// @param groups cover every shard once.
   SharedGather(const policy::QueryPlan& plan, const std::vector<ShardRange>& groups,
                SharedGatherOptions options, ChooseCb choose, NextIdCb next_id, Timestamp started);
 
-  /// Asked whenever parts have come. Without it, answers that lack parts go out when the plan's
-  /// wait is over.
-  void SetDue(DueCb due) { due_ = std::move(due); }
+  /// Sets the callback that is called whenever shard results have arrived. Without it, partial
+  /// answers are sent at the end of the wait of the plan.
+  void SetDue(AnswerTimeCb due) { due_ = std::move(due); }
 
-  /// Asks what can be asked, gives up on silent mergers, and answers if it is time.
+  /// Sends partial queries, abandons silent mergers, and answers when it is due.
   void Advance(Timestamp now);
-  /// Words that answer no open question are ignored.
-  void OnWord(Timestamp now, const wire::PartialAnswer& word);
-  /// The connection to the merger broke.
+  /// Ignores messages that belong to no open partial query.
+  void OnWord(Timestamp now, const wire::PartialAnswer& answer);
+  /// Handles a lost connection to a merger.
   void OnMergerLost(Timestamp now, const std::string& merger);
-  /// The client has left.
+  /// Cancels all partial queries because the client has disconnected.
   void AbandonAll();
 
   SharedGatherActions TakeActions();
-  /// When Advance() must be called next, if nothing comes before.
+  /// Returns when Advance() must be called next if no message arrives before.
   Timestamp NextWake(Timestamp now) const;
   Timestamp started() const { return started_; }
-  /// When an answer that lacks parts was last thought to be due.
+  /// Returns the latest computed time for sending a partial answer.
   Timestamp answer_due() const { return started_ + answer_due_; }
-  /// When parts came, in the order of time.
-  const std::vector<PartsArrival>& arrivals() const { return arrivals_; }
-  /// Every question so far.
+  /// Returns the arrivals of shard results, in order of time.
+  const std::vector<ShardArrivals>& arrivals() const { return arrivals_; }
+  /// Returns all partial queries so far.
   std::vector<QuestionRecord> Questions() const;
 
  private:
-  enum class QuestionState { kAsked, kAccepted, kDone, kRefused, kUnused, kLost };
-  struct Question {
+  enum class PartialQueryState { kSent, kAccepted, kDone, kRefused, kUnused, kLost };
+  struct PartialQuery {
     uint64_t id = 0;
     size_t group = 0;
     std::string merger;
     uint32_t max_attempts = 1;
     Timestamp sent{};
-    Timestamp heard{};
-    QuestionState state = QuestionState::kAsked;
-    /// Nothing is sent for it yet, and nothing will be unless it is confirmed.
+    Timestamp last_contact{};
+    PartialQueryState state = PartialQueryState::kSent;
+    /// The merger sends no sub-requests before it is confirmed.
     bool stand_by = false;
-    /// When its first word came.
+    /// Arrival of the first message of the merger.
     std::optional<Timestamp> accepted = {};
     bool open() const {
-      return state == QuestionState::kAsked || state == QuestionState::kAccepted;
+      return state == PartialQueryState::kSent || state == PartialQueryState::kAccepted;
     }
   };
   struct Group {
     ShardRange shards;
-    std::vector<Question> questions;
+    std::vector<PartialQuery> partial_queries;
     std::set<std::string> tried;
     /// Attempts per shard that may have been made.
     uint32_t attempts_used = 0;
-    /// Nothing more is to come.
+    /// No further results are expected.
     bool ended = false;
   };
   struct Shard {
     bool covered = false;
-    /// Its merger has said that no part will come.
-    bool lost = false;
+    /// Its merger has reported that no result will arrive.
+    bool missing = false;
     MissingReason reason = MissingReason::kNotSent;
   };
 
   void AdvanceGroup(Timestamp now, size_t index);
-  /// @return false if nobody can be asked.
-  bool Ask(Timestamp now, size_t index);
-  /// The question that a merger may work on; null: there is none.
-  static Question* WorkingOf(Group* group);
-  /// The question whose merger stands ready to begin; null: there is none.
-  static Question* StandByOf(Group* group);
-  void GiveUpOn(Group* group, Question* question);
-  /// Gives up on a merger that is not heard of, and stops it in case it is only slow.
-  void Replace(Group* group, Question* question);
-  /// A merger has spoken for the first time: the group is its own.
-  void Accept(Timestamp now, Group* group, Question* question);
-  void End(Group* group);
-  void Lose(Shard* shard);
-  void Cover(Shard* shard);
-  void TakeParts(Timestamp now, const Group& group, const wire::PartialAnswer& word);
-  bool Silent(Timestamp now, const Question& question) const;
-  /// When something has to be decided about a group.
+  /// @return false if no merger is available.
+  bool SendPartialQuery(Timestamp now, size_t index);
+  /// Returns the partial query whose merger may send sub-requests; null: none.
+  static PartialQuery* WorkingQuery(Group* group);
+  /// Returns the partial query whose merger is on standby; null: none.
+  static PartialQuery* StandbyQuery(Group* group);
+  void MarkLost(Group* group, PartialQuery* partial_query);
+  /// Abandons a merger that does not answer, and stops its work in case it is only slow.
+  void AbandonMerger(Group* group, PartialQuery* partial_query);
+  /// Assigns the group to a merger after its first message.
+  void Accept(Timestamp now, Group* group, PartialQuery* partial_query);
+  void EndGroup(Group* group);
+  void MarkMissing(Shard* shard);
+  void MarkCovered(Shard* shard);
+  void MergePartialAnswer(Timestamp now, const Group& group, const wire::PartialAnswer& answer);
+  bool IsSilent(Timestamp now, const PartialQuery& partial_query) const;
+  /// Returns when the group must be advanced next.
   Timestamp GroupWake(Timestamp now, const Group& group) const;
-  Question* FindOpen(uint64_t id);
+  PartialQuery* FindOpen(uint64_t id);
   void Evaluate(Timestamp now);
   void Finish(ResultCode failure);
-  bool Enough() const;
-  /// Whether an answer that lacks parts goes out now.
+  bool HasMinCoverage() const;
+  /// Returns whether a partial answer is to be sent now.
   bool IsDue(Timestamp now);
 
   policy::QueryPlan plan_;
@@ -206,17 +208,17 @@
   NextIdCb next_id_;
   Timestamp started_;
   Timestamp deadline_;
-  DueCb due_;
+  AnswerTimeCb due_;
   Duration answer_due_;
-  /// Shards that were covered when that was thought; unset: nobody was asked.
+  /// Shards covered when `answer_due_` was last computed; unset: not computed yet.
   std::optional<size_t> covered_when_due_;
-  std::vector<PartsArrival> arrivals_;
+  std::vector<ShardArrivals> arrivals_;
   std::vector<Group> groups_;
   std::vector<Shard> shards_;
   std::map<uint64_t, size_t> group_of_;
   size_t covered_ = 0;
-  /// Shards that get no part: their merger gave them up, or their group has ended.
-  size_t lost_ = 0;
+  /// Shards without a result whose merger has abandoned them or whose group has ended.
+  size_t missing_ = 0;
   bool ran_ = false;
   bool unknown_ = false;
   bool answered_ = false;
--- a/test/node/config_subscriber_test.cc
+++ b/test/node/config_subscriber_test.cc
@@ -1,4 +1,4 @@
-// What a feed proves to the node that follows it.
+// Tests of what a feed proves to the node that receives it.
 #include "node/config_subscriber.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -31,29 +31,29 @@
 
 class ConfigSubscriberTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ConfigSubscriberTest);
-  CPPUNIT_TEST(NothingIsProvedBeforeTheFirstAnswer);
-  CPPUNIT_TEST(ProofCountsFromTheQuestionLessTheSendersOwnAge);
-  CPPUNIT_TEST(WhatAnswersNoGreetingProvesNothing);
-  CPPUNIT_TEST(OlderProofTakesNothingBack);
-  CPPUNIT_TEST(FeedThatCannotBeAppliedProvesNothing);
+  CPPUNIT_TEST(NothingIsProvedBeforeFirstAnswer);
+  CPPUNIT_TEST(ProofTimeIsHelloTimeLessProofAge);
+  CPPUNIT_TEST(FeedWithoutHelloProvesNothing);
+  CPPUNIT_TEST(OlderProofIsIgnored);
+  CPPUNIT_TEST(InapplicableFeedProvesNothing);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void NothingIsProvedBeforeTheFirstAnswer() {
-    // Right after the machine's start its clock is near zero.
+  void NothingIsProvedBeforeFirstAnswer() {
+    // Right after boot the clock is near zero.
     ConfigSubscriber subscriber(Options(), Timestamp{});
     CPPUNIT_ASSERT(subscriber.proven_at() == kNeverProven);
     CPPUNIT_ASSERT(subscriber.Age(Timestamp{Seconds(2)}) == Seconds(2));
   }
 
-  void ProofCountsFromTheQuestionLessTheSendersOwnAge() {
+  void ProofTimeIsHelloTimeLessProofAge() {
     ConfigSubscriber subscriber(Options(), kStart);
     const Timestamp answered = kStart + Seconds(3);
     subscriber.OnFeed(answered, FullFeed(kStart + Seconds(1), Milliseconds(400)));
     CPPUNIT_ASSERT(subscriber.proven_at() == kStart + Milliseconds(600));
   }
 
-  void WhatAnswersNoGreetingProvesNothing() {
+  void FeedWithoutHelloProvesNothing() {
     ConfigSubscriber subscriber(Options(), kStart);
     wire::ConfigFeed feed = FullFeed(kStart, {});
     feed.echo = 0;
@@ -62,15 +62,15 @@
     CPPUNIT_ASSERT(subscriber.proven_at() == kNeverProven);
   }
 
-  void OlderProofTakesNothingBack() {
+  void OlderProofIsIgnored() {
     ConfigSubscriber subscriber(Options(), kStart);
     subscriber.OnFeed(kStart + Seconds(1), FullFeed(kStart + Seconds(1), {}));
     subscriber.OnFeed(kStart + Seconds(2), FullFeed(kStart + Seconds(2), Seconds(9)));
     CPPUNIT_ASSERT(subscriber.proven_at() == kStart + Seconds(1));
   }
 
-  /// A change is missing between what the node has and what the feed tells.
-  void FeedThatCannotBeAppliedProvesNothing() {
+  /// A change is missing between the version of the node and the feed.
+  void InapplicableFeedProvesNothing() {
     ConfigSubscriber subscriber(Options(), kStart);
     subscriber.OnFeed(kStart, FullFeed(kStart, {}));
     wire::ConfigFeed feed;
--- a/test/node/id_source_test.cc
+++ b/test/node/id_source_test.cc
@@ -1,4 +1,4 @@
-// Ids never recur, not even after a restart or a lost folder.
+// IDs are unique, even across a restart or the loss of the data folder.
 #include "node/id_source.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -11,23 +11,23 @@
 namespace pumicedyke::node {
 namespace {
 
-/// Some minute of 2026.
+/// A minute in 2026.
 constexpr uint64_t kMinutes = 29700000;
 
 }  // namespace
 
 class IdSourceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(IdSourceTest);
-  CPPUNIT_TEST(IdsOfTwoLivesDiffer);
+  CPPUNIT_TEST(IdsOfTwoIncarnationsDiffer);
   CPPUNIT_TEST(IncarnationGrowsAcrossCrashes);
-  CPPUNIT_TEST(LostFolderFallsBackOnTheClock);
+  CPPUNIT_TEST(LostFolderFallsBackToClock);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void IdsOfTwoLivesDiffer() {
+  void IdsOfTwoIncarnationsDiffer() {
     std::set<uint64_t> seen;
-    for (uint64_t life = 1; life <= 50; ++life) {
-      IdSource ids(life);
+    for (uint64_t incarnation = 1; incarnation <= 50; ++incarnation) {
+      IdSource ids(incarnation);
       for (int i = 0; i < 100; ++i) {
         CPPUNIT_ASSERT(seen.insert(ids.Next()).second);
       }
@@ -46,7 +46,7 @@
     }
   }
 
-  void LostFolderFallsBackOnTheClock() {
+  void LostFolderFallsBackToClock() {
     sim::SimFileSystem files(5);
     const uint64_t before = *TakeIncarnation(&files, kMinutes);
     files.LoseEverything();
--- a/test/node/node_harness.h
+++ b/test/node/node_harness.h
@@ -1,4 +1,4 @@
-// A node with one service of one shard at two leafs, without sockets.
+// A node with one service with one shard on two leafs, without sockets.
 #pragma once
 
 #include <cppunit/TestAssert.h>
@@ -40,7 +40,7 @@
     feed.version = state.version().value;
     feed.full = true;
     feed.state = state.Serialize();
-    Hear(feed);
+    Receive(feed);
   }
   void PutTenants(const std::string& list) {
     Put(R"({"kind":"put_tenants","submission_id":"c","tenants":)" + list + "}");
@@ -49,23 +49,23 @@
     Put(Json{{"kind", "put_policy"}, {"submission_id", "d"}, {"service", "desk"}, {"policy", text}}
             .dump());
   }
-  /// Word of the control machine that the node follows.
-  void Hear(wire::Body body) {
+  /// Delivers a message of the control machine that the node follows.
+  void Receive(wire::Body body) {
     server->OnControlMessage(now, {"test", state.version().value, std::move(body)});
-    Take();
+    CollectOutput();
   }
-  void Ask(const std::string& key) {
+  void SendRequest(const std::string& key) {
     query::CallerRequest request;
     request.service = "desk";
     request.query = "x";
     request.api_key = key;
-    Ask(request);
+    SendRequest(request);
   }
-  void Ask(const query::CallerRequest& request) {
-    server->OnCallerRequest(now, RequestId{++asked}, request);
-    Take();
+  void SendRequest(const query::CallerRequest& request) {
+    server->OnCallerRequest(now, RequestId{++request_count}, request);
+    CollectOutput();
   }
-  /// A leaf's reply to what it was sent, without results.
+  /// Returns a reply of a leaf without results.
   static query::LeafReply ReplyTo(const query::LeafRequest& sent, query::LeafStatus status) {
     query::LeafReply reply;
     reply.id = sent.id;
@@ -77,16 +77,16 @@
   }
   void Reply(const query::LeafReply& reply) {
     server->OnLeafReply(now, reply);
-    Take();
+    CollectOutput();
   }
-  void Pass(Duration time) {
+  void AdvanceClock(Duration time) {
     for (const Timestamp end = now + time; now < end;) {
       now += Milliseconds(1);
       server->Tick(now);
-      Take();
+      CollectOutput();
     }
   }
-  void Take() {
+  void CollectOutput() {
     NodeOutput output = server->TakeOutput();
     for (query::LeafRequest& send : output.sends) {
       sends.push_back(std::move(send));
@@ -98,16 +98,16 @@
       control.push_back(std::move(envelope.body));
     }
   }
-  /// What was said to control of this kind so far.
+  /// Returns the messages of one type sent to the control machines so far.
   template <typename Message>
-  std::vector<Message> Said() const {
-    std::vector<Message> said;
+  std::vector<Message> SentToControl() const {
+    std::vector<Message> messages;
     for (const wire::Body& body : control) {
       if (const auto* message = std::get_if<Message>(&body)) {
-        said.push_back(*message);
+        messages.push_back(*message);
       }
     }
-    return said;
+    return messages;
   }
 
   config::ConfigState state;
@@ -116,7 +116,7 @@
   std::vector<CallerAnswer> answers;
   std::vector<wire::Body> control;
   Timestamp now = kStart;
-  uint64_t asked = 0;
+  uint64_t request_count = 0;
 };
 
 }  // namespace pumicedyke::node
--- a/test/node/node_tenants_test.cc
+++ b/test/node/node_tenants_test.cc
@@ -1,4 +1,4 @@
-// The door of the product's own interface where the configuration has tenants, without sockets.
+// Tests of the node's check of API keys where the configuration has tenants, without sockets.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "common/json.h"
@@ -14,83 +14,83 @@
 constexpr char kTenants[] = R"([{"name":"acme","keys":["hush-1","hush-2"],"priority":9},
                                 {"name":"other","keys":["hush-3"]}])";
 
-using Door = NodeHarness;
+using Harness = NodeHarness;
 
 }  // namespace
 
 class NodeTenantsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(NodeTenantsTest);
-  CPPUNIT_TEST(WithoutTenantsNobodyNeedsAKey);
-  CPPUNIT_TEST(KeysOpenTheDoorAndGoNoFurther);
-  CPPUNIT_TEST(HedgesNameTheTenant);
-  CPPUNIT_TEST(KeysComeAndGo);
-  CPPUNIT_TEST(BadTenantsAreRefusedByNameAndField);
-  CPPUNIT_TEST(TenantsAreKeptAndShownWithoutKeys);
+  CPPUNIT_TEST(NoKeyIsNeededWithoutTenants);
+  CPPUNIT_TEST(KeysAreCheckedAndNotForwarded);
+  CPPUNIT_TEST(HedgesCarryTheTenant);
+  CPPUNIT_TEST(KeysFollowTheConfiguration);
+  CPPUNIT_TEST(InvalidTenantsAreRejectedWithFieldName);
+  CPPUNIT_TEST(TenantsAreStoredAndShownWithoutKeys);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void WithoutTenantsNobodyNeedsAKey() {
-    Door door;
+  void NoKeyIsNeededWithoutTenants() {
+    Harness harness;
     for (const char* key : {"", "any"}) {
-      door.Ask(key);
-      CPPUNIT_ASSERT(door.answers.empty());
-      CPPUNIT_ASSERT(door.sends.back().tenant.empty());
-      CPPUNIT_ASSERT(!query::LeafRequestToJson(door.sends.back()).contains("tenant"));
+      harness.SendRequest(key);
+      CPPUNIT_ASSERT(harness.answers.empty());
+      CPPUNIT_ASSERT(harness.sends.back().tenant.empty());
+      CPPUNIT_ASSERT(!query::LeafRequestToJson(harness.sends.back()).contains("tenant"));
     }
-    CPPUNIT_ASSERT_EQUAL(size_t{2}, door.sends.size());
+    CPPUNIT_ASSERT_EQUAL(size_t{2}, harness.sends.size());
   }
 
-  void KeysOpenTheDoorAndGoNoFurther() {
-    Door door;
-    door.PutTenants(kTenants);
+  void KeysAreCheckedAndNotForwarded() {
+    Harness harness;
+    harness.PutTenants(kTenants);
     for (const char* key : {"", "unknown", "acme"}) {
-      door.Ask(key);
-      CPPUNIT_ASSERT_MESSAGE(key, door.answers.back().answer.code == ResultCode::kUnknownKey);
-      CPPUNIT_ASSERT(door.answers.back().answer.run == query::RunState::kNotRun);
+      harness.SendRequest(key);
+      CPPUNIT_ASSERT_MESSAGE(key, harness.answers.back().answer.code == ResultCode::kUnknownKey);
+      CPPUNIT_ASSERT(harness.answers.back().answer.run == query::RunState::kNotRun);
     }
-    CPPUNIT_ASSERT(door.sends.empty());
+    CPPUNIT_ASSERT(harness.sends.empty());
     for (const auto& [key, tenant] :
          {std::pair("hush-1", "acme"), std::pair("hush-2", "acme"), std::pair("hush-3", "other")}) {
-      door.Ask(key);
-      const std::string sent = query::LeafRequestToJson(door.sends.back()).dump();
+      harness.SendRequest(key);
+      const std::string sent = query::LeafRequestToJson(harness.sends.back()).dump();
       CPPUNIT_ASSERT_EQUAL(std::string(tenant), query::LeafRequestFromJson(sent)->tenant);
       CPPUNIT_ASSERT(sent.find("hush") == std::string::npos);
     }
     CPPUNIT_ASSERT_EQUAL(401, InfoOf(ResultCode::kUnknownKey).http_status);
   }
 
-  void HedgesNameTheTenant() {
-    Door door;
-    door.PutTenants(kTenants);
-    door.Ask("hush-3");
-    for (int i = 0; i < 500 && door.sends.size() < 2; ++i) {
-      door.now += Milliseconds(1);
-      door.server->Tick(door.now);
-      door.Take();
+  void HedgesCarryTheTenant() {
+    Harness harness;
+    harness.PutTenants(kTenants);
+    harness.SendRequest("hush-3");
+    for (int i = 0; i < 500 && harness.sends.size() < 2; ++i) {
+      harness.now += Milliseconds(1);
+      harness.server->Tick(harness.now);
+      harness.CollectOutput();
     }
-    CPPUNIT_ASSERT(door.sends.size() >= 2);
-    CPPUNIT_ASSERT(door.sends[0].leaf != door.sends[1].leaf);
-    CPPUNIT_ASSERT_EQUAL(std::string("other"), door.sends[1].tenant);
+    CPPUNIT_ASSERT(harness.sends.size() >= 2);
+    CPPUNIT_ASSERT(harness.sends[0].leaf != harness.sends[1].leaf);
+    CPPUNIT_ASSERT_EQUAL(std::string("other"), harness.sends[1].tenant);
   }
 
-  void KeysComeAndGo() {
-    Door door;
-    door.PutTenants(kTenants);
-    door.PutTenants(R"([{"name":"new","keys":["hush-1"]}])");
-    door.Ask("hush-1");
-    CPPUNIT_ASSERT_EQUAL(std::string("new"), door.sends.back().tenant);
-    door.Ask("hush-2");
-    CPPUNIT_ASSERT(door.answers.back().answer.code == ResultCode::kUnknownKey);
-    door.PutTenants("[]");
-    door.Ask("hush-1");
-    CPPUNIT_ASSERT(door.answers.back().answer.code == ResultCode::kUnknownKey);
-    door.PutTenants("null");
-    door.Ask("");
-    CPPUNIT_ASSERT(door.sends.back().tenant.empty());
-    CPPUNIT_ASSERT_EQUAL(size_t{2}, door.sends.size());
+  void KeysFollowTheConfiguration() {
+    Harness harness;
+    harness.PutTenants(kTenants);
+    harness.PutTenants(R"([{"name":"new","keys":["hush-1"]}])");
+    harness.SendRequest("hush-1");
+    CPPUNIT_ASSERT_EQUAL(std::string("new"), harness.sends.back().tenant);
+    harness.SendRequest("hush-2");
+    CPPUNIT_ASSERT(harness.answers.back().answer.code == ResultCode::kUnknownKey);
+    harness.PutTenants("[]");
+    harness.SendRequest("hush-1");
+    CPPUNIT_ASSERT(harness.answers.back().answer.code == ResultCode::kUnknownKey);
+    harness.PutTenants("null");
+    harness.SendRequest("");
+    CPPUNIT_ASSERT(harness.sends.back().tenant.empty());
+    CPPUNIT_ASSERT_EQUAL(size_t{2}, harness.sends.size());
   }
 
-  void BadTenantsAreRefusedByNameAndField() {
+  void InvalidTenantsAreRejectedWithFieldName() {
     struct Case {
       const char* list;
       const char* field;
@@ -124,27 +124,27 @@
         !config::ParseChange(Json::parse(R"({"kind":"put_tenants","submission_id":"c"})")).ok());
   }
 
-  void TenantsAreKeptAndShownWithoutKeys() {
-    Door door;
-    // What was written before there were tenants reads as before.
-    CPPUNIT_ASSERT(!Json::parse(door.state.Serialize()).contains("tenants"));
-    door.PutTenants(kTenants);
-    const auto back = config::ConfigState::Deserialize(door.state.Serialize());
-    CPPUNIT_ASSERT(back.ok());
-    CPPUNIT_ASSERT(back->tenants().tenants == door.state.tenants().tenants);
-    CPPUNIT_ASSERT_EQUAL(uint64_t{1}, back->tenants().revision);
+  void TenantsAreStoredAndShownWithoutKeys() {
+    Harness harness;
+    // State written without tenants is unchanged.
+    CPPUNIT_ASSERT(!Json::parse(harness.state.Serialize()).contains("tenants"));
+    harness.PutTenants(kTenants);
+    const auto restored = config::ConfigState::Deserialize(harness.state.Serialize());
+    CPPUNIT_ASSERT(restored.ok());
+    CPPUNIT_ASSERT(restored->tenants().tenants == harness.state.tenants().tenants);
+    CPPUNIT_ASSERT_EQUAL(uint64_t{1}, restored->tenants().revision);
     config::Change change;
     change.kind = config::ChangeKind::kPutTenants;
     change.submission_id = "c";
-    change.tenants = door.state.tenants().tenants;
+    change.tenants = harness.state.tenants().tenants;
     CPPUNIT_ASSERT(config::ParseChange(Json(change))->tenants == change.tenants);
-    const std::string view = server::ViewOfConfig(door.state.Serialize(), nullptr);
+    const std::string view = server::ViewOfConfig(harness.state.Serialize(), nullptr);
     CPPUNIT_ASSERT(view.find("hush") == std::string::npos);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, Json::parse(view)["tenants"].size());
-    // Nobody's tenants: a list that is gone is not shown either.
-    door.PutTenants("null");
+    // A removed list of tenants is not shown.
+    harness.PutTenants("null");
     CPPUNIT_ASSERT(
-        !Json::parse(server::ViewOfConfig(door.state.Serialize(), nullptr)).contains("tenants"));
+        !Json::parse(server::ViewOfConfig(harness.state.Serialize(), nullptr)).contains("tenants"));
   }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(NodeTenantsTest);
--- a/test/node/platform_list_test.cc
+++ b/test/node/platform_list_test.cc
@@ -1,4 +1,4 @@
-// The platform's list of leaving machines, which others may write into.
+// The platform's list of leaving machines, which other writers may edit.
 #include "node/platform_list.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -8,26 +8,26 @@
 
 class PlatformListTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PlatformListTest);
-  CPPUNIT_TEST(EntriesOfOtherWritersNameNobodyAndTheOthersHold);
-  CPPUNIT_TEST(WithoutAListNothingIsSaid);
-  CPPUNIT_TEST(AnyBytesAreHarmless);
+  CPPUNIT_TEST(SkipsEntriesThatAreNotStrings);
+  CPPUNIT_TEST(MissingListIsAnError);
+  CPPUNIT_TEST(AcceptsArbitraryBytes);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void EntriesOfOtherWritersNameNobodyAndTheOthersHold() {
+  void SkipsEntriesThatAreNotStrings() {
     const auto list = ReadPlatformList(R"({"leaving":["a", 7, null, {"id":"b"}, ["c"], "d"]})");
     CPPUNIT_ASSERT(list.ok());
     CPPUNIT_ASSERT(*list == (std::set<std::string>{"a", "d"}));
   }
 
-  void WithoutAListNothingIsSaid() {
+  void MissingListIsAnError() {
     for (const char* text : {"", "{", "[]", "7", "{}", R"({"leaving":7})", R"({"leaving":null})",
                              R"({"leaving":{"a":1}})", "{\"leaving\":[\"\xff\"]}"}) {
       CPPUNIT_ASSERT_MESSAGE(text, !ReadPlatformList(text).ok());
     }
   }
 
-  void AnyBytesAreHarmless() {
+  void AcceptsArbitraryBytes() {
     const bool held = rc::check("any bytes are harmless", [](const std::string& bytes) {
       ReadPlatformList(bytes).status().IgnoreError();
       ReadPlatformList("{\"leaving\":[" + bytes + ",\"a\"]}").status().IgnoreError();
--- a/test/query/answer_moment_test.cc
+++ b/test/query/answer_moment_test.cc
@@ -1,4 +1,5 @@
-// When an answer that lacks parts goes out, without a clock. Loads are named by the tests.
+// When an answer with missing shard results is sent, tested without a clock. Each load models one
+// kind of gateway.
 #include "query/answer_moment.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -14,54 +15,58 @@
 namespace pumicedyke::query {
 namespace {
 
-constexpr Duration kAim = Milliseconds(50);
+constexpr Duration kObjective = Milliseconds(50);
 constexpr size_t kShards = 90;
-constexpr size_t kEnough = 77;
+constexpr size_t kMinCovered = 77;
 constexpr uint32_t kSeed = 20260612;
-/// What a late answer earns, as a part of one in time.
-constexpr double kLate = 0.1;
+/// Value of a late answer, as a fraction of one in time.
+constexpr double kLateValue = 0.1;
 
 /// One kind of request at one gateway.
 struct Load {
-  /// The way to the client and back.
-  Duration way{};
-  /// Parts come after about this long; those of paused leafs, by a hedge, so much later.
-  double part_ms = 0;
-  double part_spread_ms = 0;
+  /// Round trip to the client.
+  Duration round_trip{};
+  /// Mean and standard deviation of the arrival time of shard results, and the extra time of hedged
+  /// results of paused leafs.
+  double result_ms = 0;
+  double result_spread_ms = 0;
   double hedge_ms = 0;
   double lag_ms = 0;
 };
-/// Parts whose leafs are paused, 200 ms each 4.5 s; half of these have no other leaf that is quick.
+/// Fraction of results whose leafs are paused, 200 ms in each 4.5 s; half of these have no other
+/// fast leaf.
 constexpr double kPaused = 0.044;
-constexpr double kPausedForLong = 0.022;
+constexpr double kPausedWithoutHedge = 0.022;
 
-/// Aim 50 ms, 3 ms to the client, 0.12 cores: the last parts come as the answer is due.
+/// Objective 50 ms, 3 ms to the client, 0.12 cores: the last results arrive when the answer is due.
 constexpr Load kSmallGateway{Milliseconds(6), 22, 4, 16, 3};
-/// Aim 50 ms, 1 ms to the client, 0.28 cores.
+/// Objective 50 ms, 1 ms to the client, 0.28 cores.
 constexpr Load kLargeGateway{Milliseconds(2), 16, 3, 25, 0.8};
-/// The second, while the gateway is ten times as late with everything it does.
+/// The large gateway while its own processing is ten times slower.
 constexpr Load kLateGateway{Milliseconds(2), 22, 4, 16, 8};
 
-class Client {
+class LoadModel {
  public:
-  Client(const Load& load, uint32_t seed) : load_(load), random_(seed) {}
+  LoadModel(const Load& load, uint32_t seed) : load_(load), random_(seed) {}
 
-  /// Times at which parts come, since the request came; in order.
-  std::vector<Duration> Parts() {
-    std::normal_distribution<double> comes(load_.part_ms, load_.part_spread_ms);
-    std::uniform_real_distribution<double> luck(0, 1);
-    std::vector<Duration> parts;
+  /// Returns the arrival times of shard results since the request, in order.
+  std::vector<Duration> ArrivalTimes() {
+    std::normal_distribution<double> arrival_ms(load_.result_ms, load_.result_spread_ms);
+    std::uniform_real_distribution<double> uniform(0, 1);
+    std::vector<Duration> times;
     for (size_t i = 0; i < kShards; ++i) {
-      const double drawn = luck(random_);
-      const double later = drawn < kPausedForLong ? 200 : drawn < kPaused ? load_.hedge_ms : 0;
-      parts.push_back(Ms(std::max(5.0, comes(random_)) + later));
+      const double sample = uniform(random_);
+      const double extra_ms = sample < kPausedWithoutHedge ? 200
+                              : sample < kPaused           ? load_.hedge_ms
+                                                           : 0;
+      times.push_back(Ms(std::max(5.0, arrival_ms(random_)) + extra_ms));
     }
-    std::sort(parts.begin(), parts.end());
-    return parts;
+    std::sort(times.begin(), times.end());
+    return times;
   }
   Duration Lag() {
-    std::exponential_distribution<double> rest(2 / load_.lag_ms);
-    return Ms(load_.lag_ms / 2 + rest(random_));
+    std::exponential_distribution<double> remainder(2 / load_.lag_ms);
+    return Ms(load_.lag_ms / 2 + remainder(random_));
   }
 
  private:
@@ -71,72 +76,73 @@
   std::mt19937 random_;
 };
 
-/// Says when an answer goes out that has so many parts at such a time.
-using Due = std::function<Duration(Duration elapsed, size_t covered)>;
+/// Returns when an answer with `covered` results after `elapsed` is sent.
+using AnswerTime = std::function<Duration(Duration elapsed, size_t covered)>;
 
 struct Outcome {
-  double credit = 0;
+  double value = 0;
   Duration answered{};
-  std::vector<PartsArrival> arrivals;
+  std::vector<ShardArrivals> arrivals;
 };
 
-Outcome Play(const Load& load, const std::vector<Duration>& parts, Duration lag, const Due& due) {
+Outcome SimulateAnswer(const Load& load, const std::vector<Duration>& times, Duration lag,
+                       const AnswerTime& due) {
   Outcome outcome;
-  Duration moment{};
-  for (size_t i = 0; i < parts.size(); ++i) {
-    const bool may_go = i >= kEnough;
-    if (may_go) {
-      moment = std::max(parts[i - 1], due(parts[i - 1], i));
-      if (moment < parts[i]) {
-        outcome.answered = moment;
+  Duration answer_time{};
+  for (size_t i = 0; i < times.size(); ++i) {
+    const bool enough = i >= kMinCovered;
+    if (enough) {
+      answer_time = std::max(times[i - 1], due(times[i - 1], i));
+      if (answer_time < times[i]) {
+        outcome.answered = answer_time;
         break;
       }
     }
-    outcome.arrivals.push_back({parts[i], 1});
-    outcome.answered = parts[i];
+    outcome.arrivals.push_back({times[i], 1});
+    outcome.answered = times[i];
   }
   const double coverage = static_cast<double>(outcome.arrivals.size()) / kShards;
-  const bool in_time = outcome.answered + lag + load.way <= kAim;
-  outcome.credit = coverage * coverage * (in_time ? 1 : kLate);
+  const bool in_time = outcome.answered + lag + load.round_trip <= kObjective;
+  outcome.value = coverage * coverage * (in_time ? 1 : kLateValue);
   return outcome;
 }
 
-struct Means {
-  double learnt = 0;
+struct MeanValues {
+  double learned = 0;
   double fixed = 0;
 };
 
-/// Mean credit of the later half of `requests`, answered by what was learnt and `fixed_margin`
-/// before the aim.
-Means Compare(const Load& load, Duration fixed_margin, int requests) {
-  Client client(load, kSeed);
-  ArrivalCurve curve(kAim);
+/// Returns the mean values over the later half of `requests`, for answer times from the learned
+/// curve and for a fixed time `fixed_margin` before the objective.
+MeanValues Compare(const Load& load, Duration fixed_margin, int requests) {
+  LoadModel client(load, kSeed);
+  ArrivalCurve curve(kObjective);
   RecentDurations lags(32);
   lags.Record(Milliseconds(1));
   lags.Record(Milliseconds(8));
-  Means sums;
+  MeanValues sums;
   int counted = 0;
   for (int i = 0; i < requests; ++i) {
-    const std::vector<Duration> parts = client.Parts();
+    const std::vector<Duration> times = client.ArrivalTimes();
     const Duration lag = client.Lag();
-    const Outcome learnt = Play(load, parts, lag, [&](Duration elapsed, size_t covered) {
-      return BestMoment({elapsed, kAim - load.way, covered, kShards}, curve, lags);
+    const Outcome learned = SimulateAnswer(load, times, lag, [&](Duration elapsed, size_t covered) {
+      return BestMoment({elapsed, kObjective - load.round_trip, covered, kShards}, curve, lags);
     });
-    const Outcome fixed =
-        Play(load, parts, lag, [&](Duration, size_t) { return kAim - fixed_margin; });
-    curve.Record(learnt.arrivals, kShards, learnt.answered);
+    const Outcome fixed = SimulateAnswer(
+        load, times, lag, [&](Duration, size_t) { return kObjective - fixed_margin; });
+    curve.Record(learned.arrivals, kShards, learned.answered);
     lags.Record(lag);
     if (i >= requests / 2) {
-      sums.learnt += learnt.credit;
-      sums.fixed += fixed.credit;
+      sums.learned += learned.value;
+      sums.fixed += fixed.value;
       ++counted;
     }
   }
-  return {sums.learnt / counted, sums.fixed / counted};
+  return {sums.learned / counted, sums.fixed / counted};
 }
 
 RecentDurations LagOf(const Load& load) {
-  Client client(load, kSeed);
+  LoadModel client(load, kSeed);
   RecentDurations lag(1e6);
   for (int i = 0; i < 500; ++i) {
     lag.Record(client.Lag());
@@ -144,15 +150,16 @@
   return lag;
 }
 
-/// Parts of earlier answers came evenly up to `last`, and none later though they were waited for.
-ArrivalCurve NothingAfter(Duration last) {
-  ArrivalCurve curve(kAim);
+/// Returns a curve of answers whose results arrived evenly up to `last`, and none later although
+/// they were waited for.
+ArrivalCurve CurveEndingAt(Duration last) {
+  ArrivalCurve curve(kObjective);
   for (int i = 0; i < 100; ++i) {
-    std::vector<PartsArrival> arrivals;
-    for (size_t part = 0; part < kShards - 4; ++part) {
-      arrivals.push_back({last * static_cast<int64_t>(part + 1) / kShards, 1});
+    std::vector<ShardArrivals> arrivals;
+    for (size_t shard = 0; shard < kShards - 4; ++shard) {
+      arrivals.push_back({last * static_cast<int64_t>(shard + 1) / kShards, 1});
     }
-    curve.Record(arrivals, kShards, kAim);
+    curve.Record(arrivals, kShards, kObjective);
   }
   return curve;
 }
@@ -161,72 +168,69 @@
 
 class AnswerMomentTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AnswerMomentTest);
-  CPPUNIT_TEST(WaitsWhileTheLagIsSmall);
-  CPPUNIT_TEST(AnswersAtOnceWhereNothingMoreComes);
+  CPPUNIT_TEST(WaitsWhileLagIsSmall);
+  CPPUNIT_TEST(AnswersImmediatelyIfNoMoreResultsArrive);
   CPPUNIT_TEST(TenfoldLagAnswersEarlier);
-  CPPUNIT_TEST(WhatIsLateAnywayGoesOutAtOnce);
-  CPPUNIT_TEST(PartsThatWereNotWaitedForMayStillCome);
-  CPPUNIT_TEST(EarnsMoreThanFixedMarginsOnASmallGateway);
-  CPPUNIT_TEST(EarnsMoreThanFixedMarginsOnALargeGateway);
-  CPPUNIT_TEST(EarnsMoreThanFixedMarginsOnALateGateway);
-  CPPUNIT_TEST(NeverBeforeNowNorAfterItIsDue);
+  CPPUNIT_TEST(AnswersImmediatelyWhenAlreadyLate);
+  CPPUNIT_TEST(CensoredResultsMayStillArrive);
+  CPPUNIT_TEST(BeatsFixedMarginOnSmallGateway);
+  CPPUNIT_TEST(BeatsFixedMarginOnLargeGateway);
+  CPPUNIT_TEST(BeatsFixedMarginOnLateGateway);
+  CPPUNIT_TEST(AnswerTimeIsBetweenNowAndDue);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  /// The fixed margin answered this load after 38.8 ms whatever was missing.
-  void WaitsWhileTheLagIsSmall() {
-    const Duration due = kAim - kLargeGateway.way;
-    const Duration moment = BestMoment({Milliseconds(30), due, kShards - 3, kShards},
-                                       ArrivalCurve(kAim), LagOf(kLargeGateway));
-    CPPUNIT_ASSERT(moment > Milliseconds(42));
-    CPPUNIT_ASSERT(LagOf(kLargeGateway).ShareWithin(due - moment) > 0.9);
+  /// A fixed margin answered this load after 38.8 ms whatever was missing.
+  void WaitsWhileLagIsSmall() {
+    const Duration due = kObjective - kLargeGateway.round_trip;
+    const Duration answer_time = BestMoment({Milliseconds(30), due, kShards - 3, kShards},
+                                            ArrivalCurve(kObjective), LagOf(kLargeGateway));
+    CPPUNIT_ASSERT(answer_time > Milliseconds(42));
+    CPPUNIT_ASSERT(LagOf(kLargeGateway).ShareWithin(due - answer_time) > 0.9);
   }
 
-  void AnswersAtOnceWhereNothingMoreComes() {
+  void AnswersImmediatelyIfNoMoreResultsArrive() {
     const Duration now = Milliseconds(30);
-    const Duration moment = BestMoment({now, Milliseconds(44), kShards - 3, kShards},
-                                       NothingAfter(Milliseconds(25)), LagOf(kSmallGateway));
-    CPPUNIT_ASSERT(moment == now);
+    const Duration answer_time = BestMoment({now, Milliseconds(44), kShards - 3, kShards},
+                                            CurveEndingAt(Milliseconds(25)), LagOf(kSmallGateway));
+    CPPUNIT_ASSERT(answer_time == now);
   }
 
   void TenfoldLagAnswersEarlier() {
-    const AnswerOutlook outlook{Milliseconds(15), kAim - kLargeGateway.way, kShards - 4, kShards};
-    const ArrivalCurve curve(kAim);
-    const Duration usual = BestMoment(outlook, curve, LagOf(kLargeGateway));
-    const Duration late = BestMoment(outlook, curve, LagOf(kLateGateway));
+    const PendingAnswer pending{Milliseconds(15), kObjective - kLargeGateway.round_trip,
+                                kShards - 4, kShards};
+    const ArrivalCurve curve(kObjective);
+    const Duration usual = BestMoment(pending, curve, LagOf(kLargeGateway));
+    const Duration late = BestMoment(pending, curve, LagOf(kLateGateway));
     CPPUNIT_ASSERT(usual >= late + Milliseconds(10));
   }
 
-  void WhatIsLateAnywayGoesOutAtOnce() {
+  void AnswersImmediatelyWhenAlreadyLate() {
     const Duration now = Milliseconds(60);
-    CPPUNIT_ASSERT(BestMoment({now, Milliseconds(44), kEnough, kShards}, ArrivalCurve(kAim),
-                              LagOf(kSmallGateway)) == now);
+    CPPUNIT_ASSERT(BestMoment({now, Milliseconds(44), kMinCovered, kShards},
+                              ArrivalCurve(kObjective), LagOf(kSmallGateway)) == now);
   }
 
-  /// All answers went out after 25 ms: what would have come later is not known.
-  void PartsThatWereNotWaitedForMayStillCome() {
-    ArrivalCurve curve(kAim);
+  /// All answers were sent after 25 ms, so arrivals after that are unknown.
+  void CensoredResultsMayStillArrive() {
+    ArrivalCurve curve(kObjective);
     for (int i = 0; i < 200; ++i) {
       curve.Record({{Milliseconds(20), kShards - 4}}, kShards, Milliseconds(25));
     }
-    const size_t before = curve.MomentOf(Milliseconds(23));
-    const size_t after = curve.MomentOf(Milliseconds(30));
+    const size_t before = curve.IntervalOf(Milliseconds(23));
+    const size_t after = curve.IntervalOf(Milliseconds(30));
     CPPUNIT_ASSERT(curve.Hazard(before) < 0.01);
     CPPUNIT_ASSERT(curve.Hazard(after) > 0.05);
   }
 
-  /// Margins of 10 ms for the way and 3 for the words of mergers.
-  void EarnsMoreThanFixedMarginsOnASmallGateway() { CheckGain(kSmallGateway, Milliseconds(13), 0); }
-  /// 10 ms and 1.2: parts were thrown away.
-  void EarnsMoreThanFixedMarginsOnALargeGateway() {
-    CheckGain(kLargeGateway, Microseconds(11200), 0.02);
-  }
-  /// A third came late.
-  void EarnsMoreThanFixedMarginsOnALateGateway() {
-    CheckGain(kLateGateway, Microseconds(11200), 0.1);
-  }
+  /// Fixed margin: 10 ms for the network and 3 ms for the messages of mergers.
+  void BeatsFixedMarginOnSmallGateway() { CheckMinGain(kSmallGateway, Milliseconds(13), 0); }
+  /// Fixed margin: 10 ms and 1.2 ms. It discarded results that would have arrived in time.
+  void BeatsFixedMarginOnLargeGateway() { CheckMinGain(kLargeGateway, Microseconds(11200), 0.02); }
+  /// With the fixed margin, a third of the answers were late.
+  void BeatsFixedMarginOnLateGateway() { CheckMinGain(kLateGateway, Microseconds(11200), 0.1); }
 
-  void NeverBeforeNowNorAfterItIsDue() {
+  void AnswerTimeIsBetweenNowAndDue() {
     const bool holds = rc::check("between now and the moment at which it is due", [] {
       RecentDurations lag(32);
       const auto lags =
@@ -234,7 +238,7 @@
       for (const int value : lags) {
         lag.Record(Microseconds(value));
       }
-      ArrivalCurve curve(kAim);
+      ArrivalCurve curve(kObjective);
       const auto answers = *rc::gen::inRange(0, 20);
       for (int i = 0; i < answers; ++i) {
         const Duration first = Microseconds(*rc::gen::inRange(0, 50'000));
@@ -245,20 +249,20 @@
       const Duration now = Microseconds(*rc::gen::inRange(0, 80'000));
       const Duration due = Microseconds(*rc::gen::inRange(-10'000, 60'000));
       const auto covered = static_cast<size_t>(*rc::gen::inRange(1, static_cast<int>(kShards)));
-      const Duration moment = BestMoment({now, due, covered, kShards}, curve, lag);
-      RC_ASSERT(moment >= now);
-      RC_ASSERT(moment <= std::max(now, due));
+      const Duration answer_time = BestMoment({now, due, covered, kShards}, curve, lag);
+      RC_ASSERT(answer_time >= now);
+      RC_ASSERT(answer_time <= std::max(now, due));
     });
     CPPUNIT_ASSERT(holds);
   }
 
  private:
-  static void CheckGain(const Load& load, Duration fixed_margin, double least_gain) {
+  static void CheckMinGain(const Load& load, Duration fixed_margin, double min_gain) {
     constexpr int kRequests = 600;
-    const Means means = Compare(load, fixed_margin, kRequests);
-    std::cout << "- seed " << kSeed << ": learnt " << means.learnt << ", fixed " << means.fixed
+    const MeanValues means = Compare(load, fixed_margin, kRequests);
+    std::cout << "- seed " << kSeed << ": learned " << means.learned << ", fixed " << means.fixed
               << "\n";
-    CPPUNIT_ASSERT(means.learnt >= means.fixed + least_gain);
+    CPPUNIT_ASSERT(means.learned >= means.fixed + min_gain);
   }
 };
 
--- a/test/query/refusal_load_test.cc
+++ b/test/query/refusal_load_test.cc
@@ -1,6 +1,6 @@
-// Gathers while many leafs refuse part of what they are sent, without a network: the owners of the
-// shards each with its own view of the leafs and its own part of the allowance, leafs with slots
-// and queues, and a clock that the test moves. What is served is held against the best possible.
+// Simulates gathers while many leafs refuse a fraction of their requests, without a network. Each
+// owner of a group has its own view of the leafs and its own share of the budget; leafs have slots
+// and queues; the test controls the clock. The fraction served is compared with the best possible.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -33,45 +33,45 @@
 constexpr size_t kOwners = 4;
 constexpr uint32_t kSlots = 2;
 constexpr size_t kQueue = 12;
-constexpr Duration kWay = Microseconds(700);
-constexpr Duration kWork = Milliseconds(8);
+constexpr Duration kNetworkLatency = Microseconds(700);
+constexpr Duration kMeanRunTime = Milliseconds(8);
 constexpr Duration kDeadline = Milliseconds(1000);
-constexpr Duration kLasts = Seconds(9);
+constexpr Duration kTestDuration = Seconds(9);
 constexpr size_t kRequests = 315;
 constexpr double kRatio = 0.2;
 
-/// What is tried against the load.
-struct Way {
+/// Combination of features under test.
+struct Strategy {
   const char* name = "";
-  /// Leafs that refuse are asked again, and the allowance is spent in order.
-  bool ask_again = true;
-  /// The choice of leafs knows how often each refuses.
-  bool learns = true;
+  /// Retries leafs that refuse, and spends the budget in order.
+  bool retry_refusals = true;
+  /// The choice of leafs considers the refusal rate of each.
+  bool learn_refusal_rates = true;
 };
 
 struct Load {
-  /// Leafs that shed, of all; `one_spared`: never all of a shard.
+  /// Fraction of leafs that shed; with `one_spared`, never all leafs of a shard.
   double leafs = 0;
   bool one_spared = false;
-  /// Part of what comes that they shed.
+  /// Fraction of requests that they shed.
   double shed = 0;
-  /// Extra sub-requests of a shard beyond the share, for all owners together.
-  double allowance = 0;
+  /// Extra sub-requests of a shard beyond the ratio, summed over all owners.
+  double extra_budget = 0;
   double min_coverage = 0;
-  /// What is served must come so near to the best possible.
-  double near_best = 0;
+  /// Minimum fraction served, relative to the best possible.
+  double min_of_best = 0;
 };
 
 struct Result {
   size_t served = 0;
   size_t extra = 0;
-  /// The most that one shard got beyond the first of each request.
-  size_t most_extra = 0;
-  /// How long a request that was not served was held, on the average.
-  Duration held{};
+  /// Maximum number of extra sub-requests of a shard.
+  size_t max_extra = 0;
+  /// Mean time until a request that was not served ended.
+  Duration mean_held{};
 };
 
-/// One leaf: refuses at random or for lack of room, otherwise works in order of arrival.
+/// A leaf that refuses at random or when full, and otherwise runs requests in order of arrival.
 struct SimLeaf {
   double shed = 0;
   size_t running = 0;
@@ -84,8 +84,8 @@
   std::vector<std::unique_ptr<balance::SlidingWindowBudget>> budgets;
 };
 
-/// One group of one request at its owner.
-struct Part {
+/// Execution of one group of a request at its owner.
+struct GroupExecution {
   std::unique_ptr<RequestExecution> execution;
   Owner* owner = nullptr;
   size_t covered = 0;
@@ -94,7 +94,7 @@
 };
 
 struct Gather {
-  std::vector<Part> parts{kGroups};
+  std::vector<GroupExecution> groups{kGroups};
   size_t need = 0;
   Timestamp started;
   bool ended = false;
@@ -103,16 +103,17 @@
 
 class Fleet {
  public:
-  Fleet(const Load& load, const Way& way) : load_(load), way_(way), random_(kSeed) {
+  Fleet(const Load& load, const Strategy& strategy)
+      : load_(load), strategy_(strategy), random_(kSeed) {
     MakeLeafs();
     MakeOwners();
   }
 
-  Result Play() {
+  Result Run() {
     gathers_.resize(kRequests);
     for (size_t i = 0; i < kRequests; ++i) {
-      const Duration at = kLasts * static_cast<int64_t>(i) / static_cast<int64_t>(kRequests);
-      At(kStart + at, [this, i] { Begin(i); });
+      const Duration at = kTestDuration * static_cast<int64_t>(i) / static_cast<int64_t>(kRequests);
+      Schedule(kStart + at, [this, i] { StartGather(i); });
     }
     while (!events_.empty()) {
       const auto next = events_.begin();
@@ -123,19 +124,21 @@
     }
     for (const size_t extra : extra_) {
       result_.extra += extra;
-      result_.most_extra = std::max(result_.most_extra, extra);
+      result_.max_extra = std::max(result_.max_extra, extra);
     }
     const size_t lost = kRequests - result_.served;
-    result_.held = lost == 0 ? Duration(0) : held_ / static_cast<int64_t>(lost);
+    result_.mean_held = lost == 0 ? Duration(0) : held_ / static_cast<int64_t>(lost);
     return result_;
   }
 
-  /// Shards all of whose leafs shed.
-  size_t shards_without_rest() const { return shards_without_rest_; }
+  /// Returns the number of shards whose leafs all shed.
+  size_t fully_shedding_shards() const { return fully_shedding_shards_; }
 
  private:
-  void At(Timestamp when, std::function<void()> run) { events_.emplace(when, std::move(run)); }
-  double Draw() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  void Schedule(Timestamp when, std::function<void()> run) {
+    events_.emplace(when, std::move(run));
+  }
+  double RandomFraction() { return std::uniform_real_distribution<double>(0, 1)(random_); }
   static std::string LeafName(size_t shard, size_t leaf) {
     return "l" + std::to_string(shard) + "-" + std::to_string(leaf);
   }
@@ -145,17 +148,17 @@
     for (size_t shard = 0; shard < kShards; ++shard) {
       size_t shedding = 0;
       for (size_t leaf = 0; leaf < kLeafsOfShard; ++leaf) {
-        const bool sheds = leaf < may_shed && Draw() < load_.leafs;
+        const bool sheds = leaf < may_shed && RandomFraction() < load_.leafs;
         leafs_[LeafName(shard, leaf)].shed = sheds ? load_.shed : 0;
         shedding += sheds ? 1 : 0;
       }
-      shards_without_rest_ += shedding == kLeafsOfShard ? 1 : 0;
+      fully_shedding_shards_ += shedding == kLeafsOfShard ? 1 : 0;
     }
   }
 
   void MakeOwners() {
     balance::BalanceKnobs knobs = gateway::GatewayKnobs{}.balance;
-    knobs.refusal_cost = way_.learns ? knobs.refusal_cost : 0;
+    knobs.refusal_cost = strategy_.learn_refusal_rates ? knobs.refusal_cost : 0;
     for (size_t i = 0; i < kGroups * kOwners; ++i) {
       Owner& owner = owners_.emplace_back();
       owner.pool = std::make_unique<balance::LeafPool>(knobs, kSeed + i);
@@ -164,7 +167,7 @@
       for (size_t shard = 0; shard < kShards; ++shard) {
         owner.budgets.push_back(
             std::make_unique<balance::SlidingWindowBudget>(Seconds(10), kRatio));
-        owner.budgets.back()->SetAllowance(load_.allowance / kOwners);
+        owner.budgets.back()->SetAllowance(load_.extra_budget / kOwners);
       }
       for (const auto& [name, leaf] : leafs_) {
         owner.pool->Configure(kStart, name, kSlots);
@@ -172,16 +175,16 @@
     }
   }
 
-  void Begin(size_t index) {
+  void StartGather(size_t index) {
     Gather& gather = gathers_[index];
     gather.started = now_;
     gather.need = static_cast<size_t>(std::ceil(load_.min_coverage * kShards - 1e-9));
     const std::string id = "request-" + std::to_string(index);
     for (size_t group = 0; group < kGroups; ++group) {
-      Part& part = gather.parts[group];
-      part.owner = &owners_[group * kOwners + random_() % kOwners];
-      part.execution = Execute(part.owner, group, id);
-      part.execution->Advance(now_);
+      GroupExecution& group_execution = gather.groups[group];
+      group_execution.owner = &owners_[group * kOwners + random_() % kOwners];
+      group_execution.execution = Execute(group_execution.owner, group, id);
+      group_execution.execution->Advance(now_);
     }
     for (size_t group = 0; group < kGroups; ++group) {
       Collect(index, group);
@@ -211,7 +214,7 @@
     plan.max_attempts = 2;
     ExecutionOptions options = gateway::GatewayOptions{}.execution;
     options.report_parts = true;
-    options.ask_refusing_again = way_.ask_again;
+    options.ask_refusing_again = strategy_.retry_refusals;
     options.rank = RankOf(id);
     options.may_miss = MayMiss(kShards, load_.min_coverage, kGroups, group, id);
     CallerRequest caller;
@@ -223,29 +226,31 @@
 
   void Collect(size_t index, size_t group) {
     Gather& gather = gathers_[index];
-    Part& part = gather.parts[group];
-    if (part.done) {
+    GroupExecution& group_execution = gather.groups[group];
+    if (group_execution.done) {
       return;
     }
-    ExecutionActions actions = part.execution->TakeActions();
+    ExecutionActions actions = group_execution.execution->TakeActions();
     for (const LeafRequest& send : actions.sends) {
       CountSend(index, group, send.shard.value);
-      At(now_ + kWay, [this, index, group, send] { Arrive(index, group, send); });
+      Schedule(now_ + kNetworkLatency,
+               [this, index, group, send] { OnArrival(index, group, send); });
     }
-    part.covered += part.execution->TakeNewParts().size();
-    part.gaps += part.execution->TakeNewGaps().size();
-    part.done = actions.answer.has_value();
-    Judge(index);
-    if (!part.done && !gather.ended) {
-      const Timestamp wake = std::max(part.execution->NextWake(now_), now_ + Milliseconds(1));
-      At(wake, [this, index, group] { Wake(index, group); });
+    group_execution.covered += group_execution.execution->TakeNewParts().size();
+    group_execution.gaps += group_execution.execution->TakeNewGaps().size();
+    group_execution.done = actions.answer.has_value();
+    EvaluateGather(index);
+    if (!group_execution.done && !gather.ended) {
+      const Timestamp wake =
+          std::max(group_execution.execution->NextWake(now_), now_ + Milliseconds(1));
+      Schedule(wake, [this, index, group] { OnWake(index, group); });
     }
   }
 
-  void Wake(size_t index, size_t group) {
+  void OnWake(size_t index, size_t group) {
     Gather& gather = gathers_[index];
-    if (!gather.ended && !gather.parts[group].done) {
-      gather.parts[group].execution->Advance(now_);
+    if (!gather.ended && !gather.groups[group].done) {
+      gather.groups[group].execution->Advance(now_);
       Collect(index, group);
     }
   }
@@ -257,8 +262,9 @@
     }
   }
 
-  /// As the gateway that the client reached: ends what is served or can no longer be.
-  void Judge(size_t index) {
+  /// Ends a gather once it is finished or can no longer be served, as the gateway of the client
+  /// does.
+  void EvaluateGather(size_t index) {
     Gather& gather = gathers_[index];
     if (gather.ended) {
       return;
@@ -266,10 +272,10 @@
     size_t covered = 0;
     size_t gaps = 0;
     bool done = true;
-    for (const Part& part : gather.parts) {
-      covered += part.covered;
-      gaps += part.gaps;
-      done &= part.done;
+    for (const GroupExecution& group_execution : gather.groups) {
+      covered += group_execution.covered;
+      gaps += group_execution.gaps;
+      done &= group_execution.done;
     }
     gather.served = covered >= gather.need;
     const bool hopeless = kShards - gaps < gather.need;
@@ -279,33 +285,33 @@
     gather.ended = true;
     result_.served += gather.served ? 1 : 0;
     held_ += gather.served ? Duration(0) : now_ - gather.started;
-    for (Part& part : gather.parts) {
-      if (!part.done) {
-        part.execution->AbandonAll(now_, /*timed_out=*/false);
+    for (GroupExecution& group_execution : gather.groups) {
+      if (!group_execution.done) {
+        group_execution.execution->AbandonAll(now_, /*timed_out=*/false);
       }
     }
   }
 
-  void Arrive(size_t index, size_t group, const LeafRequest& send) {
+  void OnArrival(size_t index, size_t group, const LeafRequest& send) {
     SimLeaf& leaf = leafs_.at(send.leaf);
     const bool full = leaf.running >= kSlots && leaf.queue.size() >= kQueue;
-    if (full || Draw() < leaf.shed) {
-      Answer(index, group, send, LeafStatus::kShed);
+    if (full || RandomFraction() < leaf.shed) {
+      SendReply(index, group, send, LeafStatus::kShed);
     } else if (leaf.running < kSlots) {
-      Run(index, group, send);
+      RunRequest(index, group, send);
     } else {
-      leaf.queue.emplace_back([this, index, group, send] { Run(index, group, send); });
+      leaf.queue.emplace_back([this, index, group, send] { RunRequest(index, group, send); });
     }
   }
 
-  void Run(size_t index, size_t group, const LeafRequest& send) {
+  void RunRequest(size_t index, size_t group, const LeafRequest& send) {
     ++leafs_.at(send.leaf).running;
     const double factor = std::uniform_real_distribution<double>(0.5, 1.5)(random_);
-    const Duration work(static_cast<int64_t>(factor * static_cast<double>(kWork.count())));
-    At(now_ + work, [this, index, group, send] {
+    const Duration work(static_cast<int64_t>(factor * static_cast<double>(kMeanRunTime.count())));
+    Schedule(now_ + work, [this, index, group, send] {
       SimLeaf& leaf = leafs_.at(send.leaf);
       --leaf.running;
-      Answer(index, group, send, LeafStatus::kOk);
+      SendReply(index, group, send, LeafStatus::kOk);
       if (!leaf.queue.empty()) {
         const std::function<void()> next = std::move(leaf.queue.front());
         leaf.queue.pop_front();
@@ -314,7 +320,7 @@
     });
   }
 
-  void Answer(size_t index, size_t group, const LeafRequest& send, LeafStatus status) {
+  void SendReply(size_t index, size_t group, const LeafRequest& send, LeafStatus status) {
     const SimLeaf& leaf = leafs_.at(send.leaf);
     LeafReply reply;
     reply.id = send.id;
@@ -326,23 +332,23 @@
     if (status == LeafStatus::kOk) {
       reply.payload = std::make_shared<LeafPayload>();
     }
-    At(now_ + kWay, [this, index, group, reply] { Hear(index, group, reply); });
+    Schedule(now_ + kNetworkLatency, [this, index, group, reply] { OnReply(index, group, reply); });
   }
 
-  void Hear(size_t index, size_t group, const LeafReply& reply) {
-    Part& part = gathers_[index].parts[group];
-    const std::optional<Duration> latency = part.owner->pool->OnReply(now_, reply);
+  void OnReply(size_t index, size_t group, const LeafReply& reply) {
+    GroupExecution& group_execution = gathers_[index].groups[group];
+    const std::optional<Duration> latency = group_execution.owner->pool->OnReply(now_, reply);
     if (latency.has_value() && reply.status == LeafStatus::kOk) {
-      part.owner->latencies->Record(*latency);
+      group_execution.owner->latencies->Record(*latency);
     }
-    if (!gathers_[index].ended && !part.done) {
-      part.execution->OnReply(now_, reply);
+    if (!gathers_[index].ended && !group_execution.done) {
+      group_execution.execution->OnReply(now_, reply);
       Collect(index, group);
     }
   }
 
   Load load_;
-  Way way_;
+  Strategy strategy_;
   std::mt19937_64 random_;
   Timestamp now_ = kStart;
   std::multimap<Timestamp, std::function<void()>> events_;
@@ -351,30 +357,30 @@
   std::vector<Gather> gathers_;
   std::set<std::pair<size_t, size_t>> sent_;
   std::array<size_t, kShards> extra_{};
-  size_t shards_without_rest_ = 0;
+  size_t fully_shedding_shards_ = 0;
   uint64_t ids_ = 0;
   Duration held_{};
   Result result_;
 };
 
-/// What one who knew every leaf and had all allowance in one hand could serve at most.
-/// @param hard shards all of whose leafs shed.
-double BestPossible(const Load& load, size_t hard) {
-  const auto shards = static_cast<double>(hard);
-  const double spared = std::floor(kShards * (1 - load.min_coverage) + 1e-9);
-  const double lacking = shards * load.shed - spared;
+/// Returns the maximum fraction served with full knowledge of all leafs and a single shared budget.
+/// @param fully_shedding number of shards whose leafs all shed.
+double BestPossible(const Load& load, size_t fully_shedding) {
+  const auto shards = static_cast<double>(fully_shedding);
+  const double spare = std::floor(kShards * (1 - load.min_coverage) + 1e-9);
+  const double lacking = shards * load.shed - spare;
   if (lacking <= 0) {
     return 1;
   }
   const double extra_each = lacking / (1 - load.shed);
-  const double allowed = shards * (load.allowance + kRatio * kRequests);
+  const double allowed = shards * (load.extra_budget + kRatio * kRequests);
   return std::min(1.0, allowed / (extra_each * kRequests));
 }
 
-constexpr Way kUntaught{"refused twice, given up", false, false};
-constexpr Way kOrderOnly{"asked again, no rates learnt", true, false};
-constexpr Way kRatesOnly{"rates learnt, given up", false, true};
-constexpr Way kBoth{"asked again, rates learnt", true, true};
+constexpr Strategy kBaseline{"abandoned after two refusals", false, false};
+constexpr Strategy kRetriesOnly{"retried, refusal rates not learned", true, false};
+constexpr Strategy kRatesOnly{"refusal rates learned, abandoned", false, true};
+constexpr Strategy kBoth{"retried, refusal rates learned", true, true};
 
 const std::vector<Load>& Loads() {
   static const std::vector<Load> loads = {
@@ -391,78 +397,79 @@
 
 class RefusalLoadTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RefusalLoadTest);
-  CPPUNIT_TEST(SheddingLoadIsServedNearTheBestPossible);
-  CPPUNIT_TEST(AllowanceIsKeptWhateverIsRefused);
-  CPPUNIT_TEST(RequestsOfAllOwnersAreChosenAlike);
-  CPPUNIT_TEST(GroupsTogetherMayMissWhatTheWholeMay);
+  CPPUNIT_TEST(ServesSheddingLoadNearBestPossible);
+  CPPUNIT_TEST(StaysWithinBudget);
+  CPPUNIT_TEST(RankIsDeterministicAndMonotonic);
+  CPPUNIT_TEST(GroupsShareTheAllowedMissingShards);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void SheddingLoadIsServedNearTheBestPossible() {
+  void ServesSheddingLoadNearBestPossible() {
     std::printf("\nseed %llu, %zu requests to %zu shards\n", static_cast<unsigned long long>(kSeed),
                 kRequests, kShards);
     int failed = 0;
     for (const Load& load : Loads()) {
-      for (const Way& way : {kUntaught, kRatesOnly, kOrderOnly, kBoth}) {
-        Fleet fleet(load, way);
-        const Result result = fleet.Play();
-        const double best = BestPossible(load, fleet.shards_without_rest());
+      for (const Strategy& strategy : {kBaseline, kRatesOnly, kRetriesOnly, kBoth}) {
+        Fleet fleet(load, strategy);
+        const Result result = fleet.Run();
+        const double best = BestPossible(load, fleet.fully_shedding_shards());
         const double served = static_cast<double>(result.served) / kRequests;
         std::printf(
-            "leafs %.1f%s shed %.1f allowance %3.0f coverage %.2f: served %.2f of %.2f, "
-            "extra %.2f a request and shard, lost ones held %4.0f ms: %s\n",
-            load.leafs, load.one_spared ? ", one spared" : "", load.shed, load.allowance,
+            "leafs %.1f%s shed %.1f budget %3.0f coverage %.2f: served %.2f of %.2f, "
+            "extra %.2f a request and shard, unserved requests held %4.0f ms: %s\n",
+            load.leafs, load.one_spared ? ", one spared" : "", load.shed, load.extra_budget,
             load.min_coverage, served, best,
-            static_cast<double>(result.extra) / kRequests / kShards, ToMilliseconds(result.held),
-            way.name);
-        if (way.ask_again && way.learns) {
-          failed += served < load.near_best * best ? 1 : 0;
+            static_cast<double>(result.extra) / kRequests / kShards,
+            ToMilliseconds(result.mean_held), strategy.name);
+        if (strategy.retry_refusals && strategy.learn_refusal_rates) {
+          failed += served < load.min_of_best * best ? 1 : 0;
         }
       }
     }
     CPPUNIT_ASSERT_EQUAL(0, failed);
   }
 
-  void AllowanceIsKeptWhateverIsRefused() {
+  void StaysWithinBudget() {
     for (const Load& load : Loads()) {
-      for (const Way& way : {kOrderOnly, kBoth}) {
-        const Result result = Fleet(load, way).Play();
-        const double bound = load.allowance + kRatio * kRequests;
-        CPPUNIT_ASSERT(static_cast<double>(result.most_extra) <= bound);
+      for (const Strategy& strategy : {kRetriesOnly, kBoth}) {
+        const Result result = Fleet(load, strategy).Run();
+        const double bound = load.extra_budget + kRatio * kRequests;
+        CPPUNIT_ASSERT(static_cast<double>(result.max_extra) <= bound);
       }
     }
   }
 
-  void RequestsOfAllOwnersAreChosenAlike() {
-    constexpr int kTold = 10000;
-    int paid = 0;
-    for (int i = 0; i < kTold; ++i) {
+  void RankIsDeterministicAndMonotonic() {
+    constexpr int kSamples = 10000;
+    int qualified = 0;
+    for (int i = 0; i < kSamples; ++i) {
       const double rank = RankOf("request-" + std::to_string(i));
       CPPUNIT_ASSERT_EQUAL(rank, RankOf("request-" + std::to_string(i)));
-      const bool worth = PaidFor(rank, {1.0, kScarceLeft / 2}, 0);
-      // What is paid for with little is paid for with more.
-      CPPUNIT_ASSERT(!worth || PaidFor(rank, {1.0, kScarceLeft * 0.6}, 0));
-      // It can do without the shard that has nothing left.
-      CPPUNIT_ASSERT_EQUAL(worth, PaidFor(rank, {1.0, 0.0, kScarceLeft / 2}, 1));
-      paid += worth ? 1 : 0;
+      const bool qualifies = RankQualifies(rank, {1.0, kScarceBudget / 2}, 0);
+      // A gather that qualifies with little budget qualifies with more.
+      CPPUNIT_ASSERT(!qualifies || RankQualifies(rank, {1.0, kScarceBudget * 0.6}, 0));
+      // The shard without any budget may be missing.
+      CPPUNIT_ASSERT_EQUAL(qualifies, RankQualifies(rank, {1.0, 0.0, kScarceBudget / 2}, 1));
+      qualified += qualifies ? 1 : 0;
     }
-    CPPUNIT_ASSERT(paid > kTold * 0.47 && paid < kTold * 0.53);
-    // Nothing with nothing; beyond the need only while there is plenty.
-    CPPUNIT_ASSERT(!PaidFor(0.0, {0.0, 0.0}, 1));
-    CPPUNIT_ASSERT(PaidFor(0.9, {0.0, 0.0}, 2));
-    CPPUNIT_ASSERT(!WorthReplacing({2, 2}, kPlentyLeft / 2));
-    CPPUNIT_ASSERT(WorthReplacing({2, 2}, kPlentyLeft));
-    CPPUNIT_ASSERT(WorthReplacing({2, 3}, 0.0));
+    CPPUNIT_ASSERT(qualified > kSamples * 0.47 && qualified < kSamples * 0.53);
+    // No gather qualifies without budget; shards beyond the required coverage are paid for only
+    // with ample budget.
+    CPPUNIT_ASSERT(!RankQualifies(0.0, {0.0, 0.0}, 1));
+    CPPUNIT_ASSERT(RankQualifies(0.9, {0.0, 0.0}, 2));
+    CPPUNIT_ASSERT(!ShouldReplace({2, 2}, kAmpleBudget / 2));
+    CPPUNIT_ASSERT(ShouldReplace({2, 2}, kAmpleBudget));
+    CPPUNIT_ASSERT(ShouldReplace({2, 3}, 0.0));
   }
 
-  void GroupsTogetherMayMissWhatTheWholeMay() {
+  void GroupsShareTheAllowedMissingShards() {
     for (int i = 0; i < 100; ++i) {
       const std::string id = "request-" + std::to_string(i);
       size_t miss = 0;
       for (size_t group = 0; group < 7; ++group) {
-        const size_t part = MayMiss(90, 0.95, 7, group, id);
-        CPPUNIT_ASSERT(part <= 1);
-        miss += part;
+        const size_t allowed = MayMiss(90, 0.95, 7, group, id);
+        CPPUNIT_ASSERT(allowed <= 1);
+        miss += allowed;
       }
       CPPUNIT_ASSERT_EQUAL(size_t{4}, miss);
     }
