--- a/src/control/control_replicas.cc
+++ b/src/control/control_replicas.cc
@@ -93,17 +93,17 @@
     return;
   }
   for (const wire::Member& member : raft_.members()) {
-    const bool last_contact = member.id == raft_.self() || raft_.RecentlyHeard(member.id, now);
-    if (last_contact || !member_last_contact_.contains(member.id)) {
+    const bool in_contact = member.id == raft_.self() || raft_.RecentlyHeard(member.id, now);
+    if (in_contact || !member_last_contact_.contains(member.id)) {
       member_last_contact_[member.id] = now;
     }
   }
 }
 
 bool ControlServer::IsSilentTooLong(const wire::Member& member, Timestamp now) const {
-  const auto last_contact = member_last_contact_.find(member.id);
-  return options_.replace_silent_after.count() > 0 && last_contact != member_last_contact_.end() &&
-         now - last_contact->second >= options_.replace_silent_after;
+  const auto contact = member_last_contact_.find(member.id);
+  return options_.replace_silent_after.count() > 0 && contact != member_last_contact_.end() &&
+         now - contact->second >= options_.replace_silent_after;
 }
 
 void ControlServer::ReplaceLostReplicas(Timestamp now) {
--- a/src/control/control_server.h
+++ b/src/control/control_server.h
@@ -131,8 +131,8 @@
   void SetWallClock(int64_t wall_ms) { wall_ms_ = wall_ms; }
 
   /// Reads the status of this machine and, on the leader, of the group; answered like Submit(), and
-  /// within kStatusTimeout. "fully_redundant" is true only if every voter of the full set was heard
-  /// from after the call and holds all committed entries, so that any one of them may be lost.
+  /// within kStatusTimeout. "fully_redundant" is true only if every voter of the full set responded
+  /// after the call and holds all committed entries, so that any one of them may be lost.
   void ReadStatus(Timestamp now, TicketId ticket);
   std::vector<ReplicaStatus> Replicas(Timestamp now) const;
 
--- a/src/control/discovery_server.cc
+++ b/src/control/discovery_server.cc
@@ -74,10 +74,10 @@
   if (options_.feed_interval == Duration(0)) {
     return true;
   }
-  const double earned = static_cast<double>((now - credit_updated_).count()) /
+  const double earned = static_cast<double>((now - credit_updated_at_).count()) /
                         static_cast<double>(options_.feed_interval.count());
   feed_credit_ = std::min(options_.feed_burst, feed_credit_ + earned);
-  credit_updated_ = now;
+  credit_updated_at_ = now;
   if (feed_credit_ < 1) {
     return false;
   }
--- a/src/control/discovery_server.h
+++ b/src/control/discovery_server.h
@@ -31,7 +31,7 @@
   explicit DiscoveryServer(const DiscoveryOptions& options)
       : options_(options), registry_(options.registry), directory_(options.directory) {}
 
-  /// @param current whether this machine has a quorum. Without one, leafs are told to report to
+  /// @param current whether this machine has a quorum. Without one, leafs are directed to
   /// another machine, and their silence is ignored.
   void Tick(Timestamp now, bool current);
 
@@ -79,9 +79,9 @@
   std::map<SessionId, Session> sessions_;
   /// Whether there was a quorum at the last Tick().
   bool current_ = false;
-  /// Messages allowed by the rate limit, as of `credit_updated_`.
+  /// Messages allowed by the rate limit, as of `credit_updated_at_`.
   double feed_credit_ = 0;
-  Timestamp credit_updated_{};
+  Timestamp credit_updated_at_{};
   std::vector<std::string> control_addresses_;
   std::vector<SessionMessage> messages_;
 };
--- a/src/control/leaf_committer.cc
+++ b/src/control/leaf_committer.cc
@@ -26,8 +26,8 @@
     change = ProposeForgetting(*registry, committed, std::exchange(removed_, {}));
   }
   const bool group_changed = members != checked_members_ || leads != checked_as_leader_;
-  if (!change.has_value() && (group_changed || now - checked_ >= options_.check_interval)) {
-    checked_ = now;
+  if (!change.has_value() && (group_changed || now - checked_at_ >= options_.check_interval)) {
+    checked_at_ = now;
     checked_members_ = members;
     checked_as_leader_ = leads;
     change = CheckAllCommitted(now, *registry, committed, members, leads);
--- a/src/control/leaf_committer.h
+++ b/src/control/leaf_committer.h
@@ -66,7 +66,7 @@
   /// Leafs that were removed from the registry and not proposed to be forgotten yet.
   std::set<std::string> removed_;
   /// Time, members and role of the last check of all committed leafs.
-  Timestamp checked_{};
+  Timestamp checked_at_{};
   std::set<MemberId> checked_members_;
   bool checked_as_leader_ = false;
   bool pending_ = false;
--- a/src/control/quarantine_manager.cc
+++ b/src/control/quarantine_manager.cc
@@ -12,10 +12,10 @@
   const bool awaiting_answer = pending_ && now - proposed_ < options_.answer_timeout;
   const Duration interval = std::max(
       options_.interval, options_.interval_per_leaf * static_cast<int64_t>(evidence_.leafs()));
-  if (awaiting_answer || now - evaluated_ < interval) {
+  if (awaiting_answer || now - evaluated_at_ < interval) {
     return std::nullopt;
   }
-  evaluated_ = now;
+  evaluated_at_ = now;
   evidence_.Tick(now);
   UpdateStopped(now, committed);
   UpdateSuspects();
--- a/src/control/quarantine_manager.h
+++ b/src/control/quarantine_manager.h
@@ -85,7 +85,7 @@
   std::vector<RequestIdentity> new_suspects_;
   uint64_t suspects_version_ = 0;
   uint64_t evaluated_version_ = 0;
-  Timestamp evaluated_{};
+  Timestamp evaluated_at_{};
   bool pending_ = false;
   Timestamp proposed_{};
 };
--- a/src/node/node_server.h
+++ b/src/node/node_server.h
@@ -87,7 +87,7 @@
   /// Handles the disconnection of the caller: repeatable work is cancelled.
   void OnCallerDisconnected(Timestamp now, RequestId id);
   void OnLeafReply(Timestamp now, const query::LeafReply& reply);
-  /// Handles a health report of a leaf, which tells whether it drains.
+  /// Handles a health report of a leaf, which says whether the leaf is draining.
   void OnLeafHealth(Timestamp now, const std::string& leaf, bool draining);
   /// Sets the leafs that the platform's list names as leaving.
   void OnPlatformLeaving(const std::set<std::string>& leafs);
