--- a/src/gateway/dialect.h
+++ b/src/gateway/dialect.h
@@ -1,5 +1,5 @@
-// Pure interface between the gateway and one protocol that clients and leafs speak: values in,
-// values out. Implementations hold no state and decide nothing.
+// Interface between the gateway and one protocol spoken by clients and leafs. Converts between
+// messages and plain values. Implementations are stateless and make no decisions.
 #pragma once
 
 #include <string>
@@ -18,23 +18,23 @@
  public:
   virtual ~Dialect() = default;
 
-  /// @return kMalformedRequest naming what is missing.
+  /// @return kMalformedRequest with the missing element named.
   virtual absl::StatusOr<PayloadRequest> ReadRequest(http::HttpRequest request) const = 0;
   virtual http::HttpResponse WriteAnswer(const GatewayAnswer& answer) const = 0;
-  /// The answer to a request that ReadRequest() refused.
+  /// Writes the response to a request that ReadRequest() rejected.
   virtual http::HttpResponse WriteRefusal(const absl::Status& why) const = 0;
 
   virtual http::ClientRequest WriteLeafRequest(const LeafSend& send) const = 0;
-  /// @param response may be a failure of the connection.
+  /// @param response may represent a connection failure.
   virtual query::LeafReply ReadLeafReply(const LeafSend& send,
                                          http::ClientResponse response) const = 0;
 
-  /// Whether the request asks where clients may go, and for which client.
+  /// Returns whether the request asks which gateways a client may use.
   virtual bool IsDirectoryQuestion(const http::HttpRequest& request) const = 0;
   virtual directory::ClientPlace ClientOf(const http::HttpRequest& request) const = 0;
   virtual http::HttpResponse WriteGateways(const std::vector<std::string>& addresses,
                                            Duration time_to_live) const = 0;
-  /// Whether the request asks if this gateway is ready.
+  /// Returns whether the request asks if this gateway is ready.
   virtual bool IsReadinessProbe(const http::HttpRequest& request) const = 0;
   virtual const routing::DocumentReader& documents() const = 0;
 };
--- a/src/gateway/gateway_control.cc
+++ b/src/gateway/gateway_control.cc
@@ -1,5 +1,5 @@
-// The part of GatewayServer that follows the control machines: greets them, takes over the
-// configuration and the leafs that they tell of, and keeps the pool of leafs in step.
+// GatewayServer's handling of control machines: sends presence messages, applies the configuration
+// and the leafs received, and keeps the leaf pool in sync.
 #include <algorithm>
 #include <utility>
 
@@ -45,21 +45,22 @@
   const GatewayKnobs& knobs = options_.knobs;
   if (address != control_[subscriber_.control()]) {
     const Duration by_size = knobs.presence_interval_per_gateway * static_cast<int64_t>(gateways_);
-    return std::clamp(by_size, knobs.presence_interval, knobs.longest_presence_interval);
+    return std::clamp(by_size, knobs.presence_interval, knobs.max_presence_interval);
   }
-  // While gateways come and go, the one that tells of them is asked more often.
-  const bool changing = now - peers_changed_ < knobs.peers_settle;
+  // While the set of gateways changes, updates are requested more often from the followed control
+  // machine.
+  const bool changing = now - peers_changed_ < knobs.peers_settle_time;
   const bool often = table_ == nullptr || changing;
   return often ? knobs.starting_presence_interval : knobs.presence_interval;
 }
 
-void GatewayServer::GreetControl(Timestamp now) {
+void GatewayServer::MaintainControlLinks(Timestamp now) {
   for (auto& [address, link] : links_) {
     if (link.last_reset == Timestamp{}) {
       link.last_reset = now;
     }
-    const Timestamp last = std::max(link.last_heard, link.last_reset);
-    if (now - last >= options_.knobs.control_silence) {
+    const Timestamp last = std::max(link.last_contact, link.last_reset);
+    if (now - last >= options_.knobs.control_timeout) {
       link.last_reset = now;
       view_.OnSourceLost(now, address);
       peers_.OnSourceLost(address);
@@ -71,13 +72,13 @@
       output_.control.push_back({address, Presence(address)});
     }
   }
-  TurnToLiveControl(now);
+  SwitchToLiveControl(now);
   if (std::optional<wire::Envelope> hello = subscriber_.Tick(now)) {
     output_.control.push_back({control_[subscriber_.control()], *std::move(hello)});
   }
 }
 
-void GatewayServer::TurnToLiveControl(Timestamp now) {
+void GatewayServer::SwitchToLiveControl(Timestamp now) {
   const auto is_up = [this](const std::string& address) { return links_.at(address).up; };
   const bool any_up = std::any_of(control_.begin(), control_.end(), is_up);
   if (table_ != nullptr || !any_up) {
@@ -90,21 +91,21 @@
 
 void GatewayServer::NoteNearControlLeft(Timestamp now) {
   if (!near_control_.empty() && control_[subscriber_.control()] != near_control_) {
-    links_.at(near_control_).avoided_until = now + options_.knobs.silent_control_avoided;
+    links_.at(near_control_).avoided_until = now + options_.knobs.control_avoid_time;
     near_control_.clear();
   }
 }
 
-void GatewayServer::TurnToNearControl(Timestamp now) {
+void GatewayServer::SwitchToNearControl(Timestamp now) {
   NoteNearControlLeft(now);
-  // Whoever starts takes the first answer that comes.
+  // During the start the first answer is used, whatever its zone.
   if (table_ == nullptr || links_.at(control_[subscriber_.control()]).near) {
     return;
   }
   for (size_t i = 0; i < control_.size(); ++i) {
     const ControlLink& link = links_.at(control_[i]);
     const bool settled = link.current_since.has_value() &&
-                         now - *link.current_since >= options_.knobs.settled_control;
+                         now - *link.current_since >= options_.knobs.control_settle_time;
     if (link.near && link.up && settled && now >= link.avoided_until) {
       near_control_ = control_[i];
       subscriber_.TurnTo(now, i);
@@ -123,7 +124,7 @@
   } else if (const auto* leafs = std::get_if<wire::LeafFeed>(&envelope.body)) {
     OnLeafFeed(now, address, *leafs);
   } else if (const auto* notice = std::get_if<wire::SuspectNotice>(&envelope.body)) {
-    witness_.OnWarned(now, notice->requests);
+    run_tracker_.OnWarned(now, notice->requests);
   } else if (const auto* taken = std::get_if<wire::RunReportTaken>(&envelope.body)) {
     reports_.OnTaken(taken->number);
     ReportRuns(now);
@@ -131,8 +132,8 @@
     const uint64_t changes = peers_.changes();
     peers_.OnFeed(address, *peers);
     if (peers_.changes() != changes) {
-      TellLimitsOfGateways(now);
-      CollectEntry(now);
+      UpdateLimitGateways(now);
+      ApplyLimitOutput(now);
     }
     peers_changed_ = now;
     links_[address].next_presence =
@@ -152,18 +153,18 @@
 
 void GatewayServer::OnConfigFeed(Timestamp now, const wire::ConfigFeed& feed) {
   if (!subscriber_.OnFeed(now, feed)) {
-    // It may prove what was known.
+    // The update may still prove the known configuration current.
     ReleaseEarly(now);
     return;
   }
   const std::vector<std::string> changed = subscriber_.TakeChangedLeafs();
   if (feed.full) {
-    view_.OnCommittedAnew(now);
+    view_.OnCommittedReset(now);
   } else {
     view_.OnCommitted(now, changed);
   }
   view_.SetEvacuated(now, subscriber_.config().EvacuatedZones());
-  TakeQuarantine(now);
+  ApplyQuarantine(now);
   SyncPool(now);
   AdoptDocument(now);
   ReleaseEarly(now);
@@ -171,7 +172,7 @@
 
 void GatewayServer::OnLeafFeed(Timestamp now, const std::string& address,
                                const wire::LeafFeed& feed) {
-  links_[address].last_heard = now;
+  links_[address].last_contact = now;
   SetLink(address, /*up=*/true);
   gateways_ = std::max(1U, feed.gateways);
   LearnControl(feed.control);
@@ -179,7 +180,7 @@
   link.near = !feed.zone.empty() && feed.zone == options_.zone;
   link.current_since =
       feed.current ? std::optional(link.current_since.value_or(now)) : std::nullopt;
-  TurnToNearControl(now);
+  SwitchToNearControl(now);
   if (!view_.OnFeed(now, address, feed)) {
     links_[address].next_presence = now;
   }
@@ -213,7 +214,7 @@
 
 void GatewayServer::SyncPool(Timestamp now) {
   const std::vector<LeafChange> changes = view_.TakeChanges();
-  keeper_.Sync(now, view_, changes, {table_.get(), SharingGateways()});
+  pool_updater_.Sync(now, view_, changes, {table_.get(), SharingGateways()});
   for (const LeafChange& change : changes) {
     output_.leaf_changes.push_back(change.leaf);
   }
@@ -230,14 +231,14 @@
   if (said != view_.cold_until().end()) {
     until = said->second;
   }
-  // Leafs of a zone that is taken back may have become cold, and say so only by and by.
+  // Leafs of a restored zone may have become cold, and their reports arrive with some delay.
   if (const std::optional<Timestamp> restored = view_.RestoredAt(record.zone)) {
     until = std::max(until, *restored + service.warm_up);
   }
   return until;
 }
 
-std::map<std::string, double> GatewayServer::ColdPartsOfMergers() {
+std::map<std::string, double> GatewayServer::ColdSharesOfMergers() {
   std::map<std::string, double> parts;
   for (const routing::Route& route : table_->set().routes) {
     const size_t groups = GroupsOf(route);
@@ -247,9 +248,9 @@
     const std::vector<query::ShardRange> ranges = CutIntoGroups(route.shards.size(), groups);
     for (size_t i = 0; i < ranges.size(); ++i) {
       const GroupPlace place = PlaceOf(route.shards, ranges, i);
-      const size_t fellows = owners_.Fellows(place, route.homes);
+      const size_t co_owners = owners_.CoOwnerCount(place, route.homes);
       for (const std::string& shard : place.shards) {
-        const double part = fellows == 0 ? 0.0 : 1.0 / static_cast<double>(fellows);
+        const double part = co_owners == 0 ? 0.0 : 1.0 / static_cast<double>(co_owners);
         const auto [it, inserted] = parts.emplace(shard, part);
         it->second = inserted ? part : std::min(it->second, part);
       }
@@ -258,7 +259,7 @@
   return parts;
 }
 
-double GatewayServer::ColdPartOf(const std::string& leaf, double per_second) const {
+double GatewayServer::ColdShareOf(const std::string& leaf, double per_second) const {
   const std::vector<std::string> gateways = peers_.Names();
   const auto senders = static_cast<size_t>(std::max(1.0, per_second));
   if (gateways.size() <= 1) {
@@ -270,11 +271,12 @@
 }
 
 void GatewayServer::SyncCold(Timestamp now) {
-  const ColdBasis basis{view_.cold_words(), view_.merges(), document_version(), peers_.changes()};
-  if (table_ == nullptr || cold_basis_ == basis) {
+  const ColdLimitInputs basis{view_.cold_reports(), view_.merges(), document_version(),
+                              peers_.changes()};
+  if (table_ == nullptr || cold_limit_inputs_ == basis) {
     return;
   }
-  cold_basis_ = basis;
+  cold_limit_inputs_ = basis;
   if (!limits_cold_leafs_) {
     return;
   }
@@ -290,12 +292,12 @@
       continue;
     }
     if (!merger_parts.has_value()) {
-      merger_parts = ColdPartsOfMergers();
+      merger_parts = ColdSharesOfMergers();
     }
     const double borne = options_.knobs.cold_share * service->cold_requests_per_second;
     const auto part = merger_parts->find(record.service);
-    limits[leaf] = {until,
-                    borne * (part == merger_parts->end() ? ColdPartOf(leaf, borne) : part->second)};
+    limits[leaf] = {
+        until, borne * (part == merger_parts->end() ? ColdShareOf(leaf, borne) : part->second)};
   }
   pool_.SetCold(now, limits);
 }
@@ -316,7 +318,7 @@
   for (auto& [address, link] : links_) {
     link.next_presence = now;
   }
-  GreetControl(now);
+  MaintainControlLinks(now);
 }
 
 }  // namespace pumicedyke::gateway
--- a/src/gateway/gateway_entry.cc
+++ b/src/gateway/gateway_entry.cc
@@ -1,5 +1,5 @@
-// The part of GatewayServer between a request's arrival and its execution: finds its route, holds
-// what comes before there are routes, asks whether it may begin, and refuses.
+// GatewayServer's handling of a request between arrival and execution: finds the route, holds
+// requests that arrive before there are routes, checks admission, and refuses.
 #include <utility>
 
 #include "gateway/gateway_server.h"
@@ -15,9 +15,9 @@
 void GatewayServer::HoldEarly(Timestamp now, RequestId id,
                               std::shared_ptr<const PayloadRequest> request, Timestamp arrived) {
   const Duration expected = options_.knobs.expected_start - (now - started_);
-  if (table_ == nullptr && expected >= options_.knobs.shortest_start_refusal) {
+  if (table_ == nullptr && expected >= options_.knobs.min_start_refusal) {
     Refuse(now, id, std::move(request), ResultCode::kNotReady,
-           expected + options_.knobs.shortest_start_refusal);
+           expected + options_.knobs.min_start_refusal);
     return;
   }
   if (early_.size() >= options_.knobs.max_in_progress) {
@@ -25,9 +25,9 @@
     return;
   }
   const Duration patience =
-      request->deadline.count() > 0 ? request->deadline : options_.knobs.longest_wait;
+      request->deadline.count() > 0 ? request->deadline : options_.knobs.default_client_timeout;
   const Duration wait =
-      std::min(options_.knobs.longest_start_wait, patience / options_.knobs.start_wait_part);
+      std::min(options_.knobs.max_start_wait, patience / options_.knobs.start_wait_divisor);
   early_[id] = {std::move(request), arrived, arrived + wait, document_version()};
 }
 
@@ -73,7 +73,7 @@
     RefuseUnknown(now, id, std::move(request), arrived, ResultCode::kUnknownPath);
     return;
   }
-  // Whoever has no key learns nothing else, and costs no more than this.
+  // A caller without a valid key learns nothing else, and costs no further work.
   if (gate_.Recheck(now, *table_, *route, request->api_key, KeysProvenAt()) ==
       ResultCode::kUnknownKey) {
     RefuseUnknown(now, id, std::move(request), arrived, ResultCode::kUnknownKey);
@@ -96,7 +96,7 @@
       break;
     case admission::EntryVerdict::kWaiting:
       held_[id] = {std::move(request), arrived};
-      CollectEntry(now);
+      ApplyLimitOutput(now);
       break;
     case admission::EntryVerdict::kRefused:
       Refuse(now, id, std::move(request), entry.code, entry.retry_after);
@@ -113,13 +113,13 @@
          tenants::KeysProven(options_.entry.key_lease, now, KeysProvenAt());
 }
 
-void GatewayServer::BeginHeld(Timestamp now, RequestId id, const HeldRequest& held) {
+void GatewayServer::StartHeld(Timestamp now, RequestId id, const HeldRequest& held) {
   const routing::Route* route = table_->Find(held.request->host, held.request->path());
   if (route == nullptr) {
     Refuse(now, id, held.request, ResultCode::kUnknownPath, Duration(0));
     return;
   }
-  // The document may have changed while the limit was asked for.
+  // The document may have changed while the limit was requested.
   const ResultCode code =
       gate_.Recheck(now, *table_, *route, held.request->api_key, KeysProvenAt());
   if (code != ResultCode::kOk) {
@@ -130,15 +130,15 @@
                  held.arrived);
 }
 
-void GatewayServer::CollectEntry(Timestamp now) {
+void GatewayServer::ApplyLimitOutput(Timestamp now) {
   limits::LimitOutput out = gate_.limits().TakeOutput();
-  for (limits::LimitQuestion& question : out.questions) {
+  for (limits::LimitQuestion& request : out.questions) {
     output_.peer_messages.push_back(
-        {question.address, {options_.cluster, document_version(), std::move(question.ask)}});
+        {request.address, {options_.cluster, document_version(), std::move(request.ask)}});
   }
-  for (limits::LimitWord& word : out.words) {
+  for (limits::LimitWord& reply : out.words) {
     output_.peer_replies.push_back(
-        {word.session, {options_.cluster, document_version(), std::move(word.grant)}});
+        {reply.session, {options_.cluster, document_version(), std::move(reply.grant)}});
   }
   for (const limits::LimitDecision& decision : out.decisions) {
     const auto found = held_.find(decision.id);
@@ -148,14 +148,14 @@
     const HeldRequest held = std::move(found->second);
     held_.erase(found);
     if (decision.granted) {
-      BeginHeld(now, decision.id, held);
+      StartHeld(now, decision.id, held);
     } else {
       Refuse(now, decision.id, held.request, ResultCode::kTenantLimit, decision.retry_after);
     }
   }
 }
 
-void GatewayServer::TellLimitsOfGateways(Timestamp now) {
+void GatewayServer::UpdateLimitGateways(Timestamp now) {
   std::vector<limits::LimitGateway> gateways;
   for (const std::string& node : peers_.Names()) {
     const wire::GatewayRecord& record = *peers_.Find(node);
@@ -177,7 +177,7 @@
   if (it->second.shared != nullptr) {
     it->second.shared->AbandonAll();
     for (const query::GroupCancel& cancel : it->second.shared->TakeActions().cancels) {
-      CancelQuestion(it->second, cancel);
+      CancelPartialQuery(it->second, cancel);
     }
     Remove(id);
     return;
--- a/src/gateway/gateway_merging.cc
+++ b/src/gateway/gateway_merging.cc
@@ -1,5 +1,5 @@
-// The part of GatewayServer that merges a group of shards for another gateway: gathers their parts
-// like a request of its own, but reports them as they come.
+// GatewayServer as merger: gathers a group of shards for another gateway like a request of its own,
+// but reports the shard results as they arrive.
 #include <algorithm>
 #include <utility>
 
@@ -9,7 +9,7 @@
 namespace pumicedyke::gateway {
 namespace {
 
-/// Set in the ids of partial jobs, which share their space with those of clients' requests.
+/// Marks the request ids of partial jobs, which share the id space with clients' requests.
 constexpr uint64_t kPartialBit = uint64_t{1} << 63;
 
 std::shared_ptr<const PayloadRequest> RequestOf(const wire::PartialQuery& query) {
@@ -32,18 +32,19 @@
   return gaps;
 }
 
-wire::PartialAnswer WordWithoutParts(uint64_t question, wire::PartialStage stage) {
-  wire::PartialAnswer word;
-  word.id = question;
-  word.stage = stage;
-  return word;
+wire::PartialAnswer EmptyPartialAnswer(uint64_t query_id, wire::PartialStage stage) {
+  wire::PartialAnswer reply;
+  reply.id = query_id;
+  reply.stage = stage;
+  return reply;
 }
 
 }  // namespace
 
-void GatewayServer::SendWord(PeerSessionId session, wire::PartialAnswer word, int priority) {
+void GatewayServer::SendPartialAnswer(PeerSessionId session, wire::PartialAnswer reply,
+                                      int priority) {
   output_.peer_replies.push_back(
-      {session, {options_.cluster, document_version(), std::move(word)}, priority});
+      {session, {options_.cluster, document_version(), std::move(reply)}, priority});
 }
 
 void GatewayServer::OnPeerQuestion(Timestamp now, PeerSessionId session,
@@ -59,7 +60,7 @@
     OnPartialConfirm(now, session, *confirm);
   } else if (const auto* ask = std::get_if<wire::LimitAsk>(&envelope.body)) {
     gate_.limits().OnAsk(now, session, *ask, subscriber_.proven_at());
-    CollectEntry(now);
+    ApplyLimitOutput(now);
   }
 }
 
@@ -81,9 +82,9 @@
   return std::nullopt;
 }
 
-size_t GatewayServer::FellowOwners(const GroupOfRoute& group) {
-  return owners_.Fellows(PlaceOf(group.route->shards, group.ranges, group.index),
-                         group.route->homes);
+size_t GatewayServer::CoOwnersOf(const GroupOfRoute& group) {
+  return owners_.CoOwnerCount(PlaceOf(group.route->shards, group.ranges, group.index),
+                              group.route->homes);
 }
 
 size_t GatewayServer::MayMissOf(const GroupOfRoute& group, const std::string& request_id) {
@@ -98,10 +99,11 @@
                        active_.size() >= options_.knobs.max_in_progress ||
                        quarantined_.contains(query.identity) || now >= arrived + query.budget;
   if (refused) {
-    SendWord(session, WordWithoutParts(query.id, wire::PartialStage::kRefused), priority);
+    SendPartialAnswer(session, EmptyPartialAnswer(query.id, wire::PartialStage::kRefused),
+                      priority);
     return;
   }
-  SendWord(session, WordWithoutParts(query.id, wire::PartialStage::kAccepted), priority);
+  SendPartialAnswer(session, EmptyPartialAnswer(query.id, wire::PartialStage::kAccepted), priority);
   if (query.stand_by) {
     std::erase_if(stand_by_, [now](const auto& item) {
       return now >= item.second.arrived + item.second.query.budget;
@@ -114,7 +116,7 @@
 
 void GatewayServer::StartPartial(Timestamp now, PeerSessionId session,
                                  const wire::PartialQuery& query, Timestamp arrived) {
-  const RequestId id{kPartialBit | ++partials_begun_};
+  const RequestId id{kPartialBit | ++partials_started_};
   partials_[{session, query.id}] = id;
   Active& active = active_[id];
   active.request = RequestOf(query);
@@ -123,37 +125,37 @@
   active.tenant = query.tenant;
   active.priority = static_cast<int>(query.priority);
   active.partial = PartialJob{.session = session,
-                              .question = query.id,
+                              .query_id = query.id,
                               .top_records = query.top_records,
                               .route = query.route,
-                              .begun = now,
+                              .started = now,
                               .report_at = arrived + query.report_after,
-                              .last_word = now,
+                              .last_reply = now,
                               .unreported = {},
                               .unreported_gaps = {}};
-  MergeForLackOfLeafs(now, query.shards);
-  const std::set<std::string> homes(query.homes.begin(), query.homes.end());
-  const Target& target = TargetOf(query.shards, homes);
+  MergeIfLeafsMissing(now, query.shards);
+  const std::set<std::string> allowed_regions(query.homes.begin(), query.homes.end());
+  const Target& target = TargetOf(query.shards, allowed_regions);
   const std::optional<GroupOfRoute> group = FindGroup(query);
-  const size_t fellows = group.has_value() ? FellowOwners(*group) : 0;
+  const size_t co_owners = group.has_value() ? CoOwnersOf(*group) : 0;
   const double spare = options_.knobs.spare_gateways;
-  const double allowance = fellows == 0 ? OrdinaryAllowance(/*shared=*/true)
-                                        : options_.knobs.mergers_allowance_share *
-                                              options_.extra_load.allowance /
-                                              (static_cast<double>(fellows) + spare);
+  const double allowance = co_owners == 0 ? NonMergerAllowance(/*shared=*/true)
+                                          : options_.knobs.mergers_allowance_share *
+                                                options_.extra_load.allowance /
+                                                (static_cast<double>(co_owners) + spare);
   for (const std::string& shard : query.shards) {
     BudgetOf(shard, allowance);
   }
-  if (fellows > 0) {
+  if (co_owners > 0) {
     const auto connections = static_cast<double>(ConnectionsOf(query.shards.front()));
     active.merger_connections =
         std::max<size_t>(1, static_cast<size_t>(options_.knobs.mergers_connection_share *
-                                                connections / static_cast<double>(fellows)));
+                                                connections / static_cast<double>(co_owners)));
   }
   policy::QueryPlan plan;
   plan.deadline = query.budget;
   plan.wait = query.budget;
-  // Whether there is enough is for the gateway that asked.
+  // The root decides whether the coverage is sufficient.
   plan.min_coverage = 0;
   plan.extra_load = options_.extra_load.ratio;
   plan.hedge_quantile = options_.knobs.hedge_quantile;
@@ -182,15 +184,15 @@
 void GatewayServer::OnPartialConfirm(Timestamp now, PeerSessionId session,
                                      const wire::PartialConfirm& confirm) {
   if (const auto ready = stand_by_.find({session, confirm.id}); ready != stand_by_.end()) {
-    const StandBy question = std::move(ready->second);
+    const StandbyQuery standby = std::move(ready->second);
     stand_by_.erase(ready);
-    if (now >= question.arrived + question.query.budget || table_ == nullptr ||
-        quarantined_.contains(question.query.identity)) {
-      SendWord(session, WordWithoutParts(confirm.id, wire::PartialStage::kRefused),
-               static_cast<int>(question.query.priority));
+    if (now >= standby.arrived + standby.query.budget || table_ == nullptr ||
+        quarantined_.contains(standby.query.identity)) {
+      SendPartialAnswer(session, EmptyPartialAnswer(confirm.id, wire::PartialStage::kRefused),
+                        static_cast<int>(standby.query.priority));
       return;
     }
-    StartPartial(now, session, question.query, question.arrived);
+    StartPartial(now, session, standby.query, standby.arrived);
     return;
   }
   const auto found = partials_.find({session, confirm.id});
@@ -231,19 +233,19 @@
   Remove(id);
 }
 
-wire::PartialAnswer GatewayServer::TakePartialWord(PartialJob* job, wire::PartialStage stage) {
-  wire::PartialAnswer word = WordWithoutParts(job->question, stage);
+wire::PartialAnswer GatewayServer::TakePartialAnswer(PartialJob* job, wire::PartialStage stage) {
+  wire::PartialAnswer reply = EmptyPartialAnswer(job->query_id, stage);
   std::vector<std::string_view> bodies;
   for (const query::ShardPayload& part : job->unreported) {
-    word.parts.push_back({static_cast<uint32_t>(part.shard.value), part.payload->signature});
+    reply.parts.push_back({static_cast<uint32_t>(part.shard.value), part.payload->signature});
     bodies.push_back(part.payload->body);
   }
-  word.records = MergeGreatest(bodies, job->top_records);
+  reply.records = MergeGreatest(bodies, job->top_records);
   job->unreported.clear();
   if (stage != wire::PartialStage::kDone) {
-    word.gaps = GapsOf(std::exchange(job->unreported_gaps, {}));
+    reply.gaps = GapsOf(std::exchange(job->unreported_gaps, {}));
   }
-  return word;
+  return reply;
 }
 
 void GatewayServer::CollectPartial(Timestamp now, RequestId id,
@@ -258,40 +260,40 @@
     ++job.gaps;
   }
   if (answer.has_value()) {
-    wire::PartialAnswer word = TakePartialWord(&job, wire::PartialStage::kDone);
-    word.gaps = GapsOf(answer->coverage.missing);
-    word.run = static_cast<uint32_t>(answer->run);
-    word.extra = answer->extra_sub_requests;
-    SendWord(job.session, std::move(word), active.priority);
-    output_.partials.push_back({active.request->request_id, active.request->identity, job.route,
-                                active.tenant, answer->run, job.begun - active.execution->started(),
-                                now - active.execution->started(), answer->coverage.total(),
-                                answer->extra_sub_requests, answer->unpaid_shards,
-                                active.execution->Attempts(), answer->coverage.missing});
+    wire::PartialAnswer reply = TakePartialAnswer(&job, wire::PartialStage::kDone);
+    reply.gaps = GapsOf(answer->coverage.missing);
+    reply.run = static_cast<uint32_t>(answer->run);
+    reply.extra = answer->extra_sub_requests;
+    SendPartialAnswer(job.session, std::move(reply), active.priority);
+    output_.partials.push_back(
+        {active.request->request_id, active.request->identity, job.route, active.tenant,
+         answer->run, job.started - active.execution->started(), now - active.execution->started(),
+         answer->coverage.total(), answer->extra_sub_requests, answer->unpaid_shards,
+         active.execution->Attempts(), answer->coverage.missing});
     Remove(id);
     return;
   }
   const Timestamp reported =
-      std::max(job.report_at, job.last_word + options_.knobs.report_interval);
-  const Timestamp sign = job.last_word + options_.knobs.sign_of_life;
-  // The whole gather may be lost with this group: the one that asked need not wait to hear of it.
+      std::max(job.report_at, job.last_reply + options_.knobs.report_interval);
+  const Timestamp sign = job.last_reply + options_.knobs.progress_interval;
+  // The whole gather may fail because of this group, so the root has to learn of it early.
   const bool hopeless = !job.unreported_gaps.empty() && job.gaps > job.may_miss &&
-                        now >= job.last_word + options_.knobs.report_interval;
+                        now >= job.last_reply + options_.knobs.report_interval;
   const bool report = hopeless || (!job.unreported.empty() && now >= reported);
   if (report || now >= sign) {
-    SendWord(job.session,
-             report ? TakePartialWord(&job, wire::PartialStage::kParts)
-                    : WordWithoutParts(job.question, wire::PartialStage::kAccepted),
-             active.priority);
-    job.last_word = now;
+    SendPartialAnswer(job.session,
+                      report ? TakePartialAnswer(&job, wire::PartialStage::kParts)
+                             : EmptyPartialAnswer(job.query_id, wire::PartialStage::kAccepted),
+                      active.priority);
+    job.last_reply = now;
   }
   Timestamp wake =
-      std::min(active.execution->NextWake(now), job.last_word + options_.knobs.sign_of_life);
+      std::min(active.execution->NextWake(now), job.last_reply + options_.knobs.progress_interval);
   if (!job.unreported_gaps.empty() && job.gaps > job.may_miss) {
-    wake = std::min(wake, job.last_word + options_.knobs.report_interval);
+    wake = std::min(wake, job.last_reply + options_.knobs.report_interval);
   }
   if (!job.unreported.empty() || job.report_at > now) {
-    wake = std::min(wake, std::max(job.report_at, job.last_word + options_.knobs.report_interval));
+    wake = std::min(wake, std::max(job.report_at, job.last_reply + options_.knobs.report_interval));
   }
   Schedule(id, std::max(now, wake));
 }
--- a/src/gateway/gateway_quarantine.cc
+++ b/src/gateway/gateway_quarantine.cc
@@ -1,5 +1,5 @@
-// The part of GatewayServer that guards leafs from requests that end whoever runs them: watches
-// what becomes of every run, tells control, and stops what the fleet has stopped.
+// GatewayServer's protection of leafs from requests that crash them: tracks the outcome of every
+// run, reports to control, and stops quarantined requests.
 #include <xxhash.h>
 
 #include <algorithm>
@@ -9,28 +9,28 @@
 
 namespace pumicedyke::gateway {
 
-void GatewayServer::WatchRun(Timestamp now, const Active& active, const LeafSend& send,
+void GatewayServer::TrackRun(Timestamp now, const Active& active, const LeafSend& send,
                              const std::string& service) {
   const std::string& attempt = active.request->request_id;
-  witness_.OnSent(send.id, {active.request->identity, XXH64(attempt.data(), attempt.size(), 0),
-                            send.leaf, service, now});
+  run_tracker_.OnSent(send.id, {active.request->identity, XXH64(attempt.data(), attempt.size(), 0),
+                                send.leaf, service, now});
 }
 
 void GatewayServer::OnAbandonedReply(Timestamp now, const query::LeafReply& reply) {
-  witness_.OnEnded(now, reply);
+  run_tracker_.OnEnded(now, reply);
 }
 
 query::ExecutionOptions GatewayServer::ExecutionOptionsFor(Timestamp now,
                                                            const PayloadRequest& request) const {
   query::ExecutionOptions options = options_.execution;
-  options.on_probation = witness_.IsSuspect(now, request.identity);
-  options.accused = witness_.IsAccused(request.identity);
+  options.on_probation = run_tracker_.IsSuspect(now, request.identity);
+  options.accused = run_tracker_.IsAccused(request.identity);
   return options;
 }
 
 void GatewayServer::ReportRuns(Timestamp now) {
   if (now - runs_reported_ >= options_.knobs.run_report_interval) {
-    if (std::optional<wire::RunReport> seen = witness_.TakeReport()) {
+    if (std::optional<wire::RunReport> seen = run_tracker_.TakeReport()) {
       runs_reported_ = now;
       reports_.Add(now, *std::move(seen));
     }
@@ -39,7 +39,7 @@
   if (!report.has_value()) {
     return;
   }
-  // Whichever control machine leads next has to know, too.
+  // The next leader among the control machines needs the report, too.
   report->relayed = true;
   for (const std::string& address : control_) {
     output_.control.push_back(
@@ -48,13 +48,13 @@
   output_.runs_reported = std::move(report);
 }
 
-void GatewayServer::TakeQuarantine(Timestamp now) {
+void GatewayServer::ApplyQuarantine(Timestamp now) {
   std::set<RequestIdentity> quarantined = subscriber_.config().StoppedRequests();
   if (quarantined == quarantined_) {
     return;
   }
   quarantined_ = std::move(quarantined);
-  witness_.OnQuarantined(quarantined_);
+  run_tracker_.OnQuarantined(quarantined_);
   std::vector<RequestId> stopped;
   for (const auto& [id, active] : active_) {
     if (quarantined_.contains(active.request->identity)) {
@@ -69,7 +69,7 @@
 void GatewayServer::StopQuarantined(Timestamp now, RequestId id) {
   Active& active = active_.at(id);
   if (active.shared != nullptr) {
-    // Its mergers stop it themselves and say so.
+    // Its mergers stop the work and report it.
     return;
   }
   active.execution->Stop(now, ResultCode::kQuarantined);
--- a/src/gateway/gateway_server.cc
+++ b/src/gateway/gateway_server.cc
@@ -11,42 +11,44 @@
 namespace pumicedyke::gateway {
 namespace {
 
-/// A client's own deadline counts from when it sent: this much of it is taken to be used up.
-constexpr Duration kClientHop = Milliseconds(10);
-/// The delay before the first hedges of a route, as a part of its objective.
-constexpr int kInitialHedgePart = 3;
-constexpr Duration kLongestSleep = Milliseconds(200);
+/// Assumed time between sending and arrival of a request, deducted from the client's deadline.
+constexpr Duration kClientSendDelay = Milliseconds(10);
+/// Divisor of a route's objective that gives the delay of its first hedges.
+constexpr int kInitialHedgeDivisor = 3;
+constexpr Duration kMaxSleep = Milliseconds(200);
 
-/// Places at which gateways begin to share requests by weights: a percent can be told.
-constexpr uint64_t kPlacesOfRound = 100;
+/// Number of positions at which gateways may start the weighted choice of services. With 100 a
+/// weight of one percent is visible.
+constexpr uint64_t kChoiceStartPositions = 100;
 
-/// Requests of a route after which the longest of their patiences is taken to be that of a client
-/// that spent nothing yet: most clients keep their connections.
-constexpr uint64_t kTellingPatiences = 16;
+/// Number of requests of a route after which the longest deadline seen is taken to be the clients'
+/// time-out. Most clients keep their connections, so some requests arrive with no time spent.
+constexpr uint64_t kMinDeadlineSamples = 16;
 
 Duration Part(Duration whole, double part) {
   return Duration(static_cast<int64_t>(static_cast<double>(whole.count()) * part));
 }
 
 template <typename Item>
-void UrgentFirst(std::vector<Item>* items) {
+void SortByPriority(std::vector<Item>* items) {
   const auto before = [](const Item& a, const Item& b) { return a.priority < b.priority; };
   if (!std::is_sorted(items->begin(), items->end(), before)) {
     std::stable_sort(items->begin(), items->end(), before);
   }
 }
 
-/// What the lag of answers is taken to be before one was seen: from one word's work to that of as
-/// many as may come with it.
-RecentDurations LagToBeginWith(const GatewayOptions& options) {
-  RecentDurations lag(options.knobs.lag_memory);
-  for (const size_t words : {1U, 2U, 2U, 4U, 4U, 8U}) {
-    lag.Record(TimeForWords(words, options.processor_share, options.knobs.sharing_costs));
+/// Returns the assumed lag of answers before any was measured: from the time for processing one
+/// partial answer to that for as many as may arrive together.
+RecentDurations InitialAnswerLag(const GatewayOptions& options) {
+  RecentDurations lag(options.knobs.lag_half_life_samples);
+  for (const size_t messages : {1U, 2U, 2U, 4U, 4U, 8U}) {
+    lag.Record(
+        TimeForPartialAnswers(messages, options.processor_share, options.knobs.sharing_costs));
   }
   return lag;
 }
 
-/// Names this life of the gateway among all that report to control.
+/// Returns an id of this incarnation of the gateway among all reporters to control.
 uint64_t ReporterOf(const GatewayOptions& options) {
   const std::string life = options.node + "." + std::to_string(options.incarnation);
   return XXH64(life.data(), life.size(), 0);
@@ -70,11 +72,11 @@
       ids_(options_.incarnation),
       view_(options_.leaf_view, &subscriber_.config()),
       pool_(options_.knobs.balance, options_.incarnation),
-      keeper_(options_.node, options_.zone, &pool_),
+      pool_updater_(options_.node, options_.zone, &pool_),
       owners_(options_.node, options_.zone, &view_, &peers_, &options_.regions),
-      witness_(options_.knobs.witness),
+      run_tracker_(options_.knobs.witness),
       reports_(ReporterOf(options_)),
-      answer_lag_(LagToBeginWith(options_)),
+      answer_lag_(InitialAnswerLag(options_)),
       gate_(options_.entry, options_.node, options_.incarnation),
       started_(now) {
   LearnControl(options_.control);
@@ -84,10 +86,10 @@
 
 GatewayOutput GatewayServer::TakeOutput() {
   GatewayOutput output = std::exchange(output_, {});
-  UrgentFirst(&output.answers);
-  UrgentFirst(&output.peer_messages);
-  UrgentFirst(&output.peer_replies);
-  UrgentFirst(&output.sends);
+  SortByPriority(&output.answers);
+  SortByPriority(&output.peer_messages);
+  SortByPriority(&output.peer_replies);
+  SortByPriority(&output.sends);
   return output;
 }
 
@@ -97,7 +99,7 @@
   return gateways_ + options_.knobs.spare_gateways;
 }
 
-double GatewayServer::OrdinaryAllowance(bool shared) const {
+double GatewayServer::NonMergerAllowance(bool shared) const {
   const double part = shared ? 1 - options_.knobs.mergers_allowance_share : 1.0;
   return part * options_.extra_load.allowance / SharingGateways();
 }
@@ -121,30 +123,31 @@
   return std::max<size_t>(1, ConnectionsOf(service) / SharingGateways());
 }
 
-std::vector<std::string> GatewayServer::LeafsIn(const std::set<std::string>& homes,
+std::vector<std::string> GatewayServer::LeafsIn(const std::set<std::string>& allowed_regions,
                                                 const std::string& service) const {
   std::vector<std::string> leafs = view_.UsableLeafs(service);
-  std::erase_if(
-      leafs, [&](const std::string& leaf) { return !IsHome(homes, view_.leafs().at(leaf).zone); });
+  std::erase_if(leafs, [&](const std::string& leaf) {
+    return !IsAllowedZone(allowed_regions, view_.leafs().at(leaf).zone);
+  });
   return leafs;
 }
 
 const GatewayServer::Target& GatewayServer::TargetOf(const std::vector<std::string>& services,
-                                                     const std::set<std::string>& homes) {
-  Target& target = targets_[{services, homes}];
+                                                     const std::set<std::string>& allowed_regions) {
+  Target& target = targets_[{services, allowed_regions}];
   if (target.service != nullptr && target.view_version == view_.version()) {
     return target;
   }
   const bool shared =
       options_.knobs.share_gathers && !options_.peer_address.empty() &&
       GroupCount(services.size(), options_.processor_share, options_.knobs.sharing_costs) > 1;
-  const double allowance = OrdinaryAllowance(shared);
+  const double allowance = NonMergerAllowance(shared);
   target.view_version = view_.version();
   target.service = std::make_shared<config::Service>();
   target.budgets.clear();
   config::PublishedSnapshot snapshot{SnapshotId{table_->version()}, {}};
   for (size_t i = 0; i < services.size(); ++i) {
-    snapshot.shards.push_back({ShardId{i}, LeafsIn(homes, services[i])});
+    snapshot.shards.push_back({ShardId{i}, LeafsIn(allowed_regions, services[i])});
     target.budgets.push_back(BudgetOf(services[i], allowance));
   }
   target.service->snapshots.push_back(std::move(snapshot));
@@ -156,9 +159,9 @@
   RouteRuntime& runtime = runtimes_[route];
   if (runtime.latencies == nullptr) {
     const uint64_t hash = XXH64(route.data(), route.size(), options_.incarnation);
-    runtime.choice = routing::WeightedChoice(static_cast<uint32_t>(hash % kPlacesOfRound));
+    runtime.choice = routing::WeightedChoice(static_cast<uint32_t>(hash % kChoiceStartPositions));
     runtime.latencies = std::make_unique<balance::LatencyTracker>(
-        options_.knobs.balance.latency_window, objective / kInitialHedgePart);
+        options_.knobs.balance.latency_window, objective / kInitialHedgeDivisor);
   }
   return runtime;
 }
@@ -174,12 +177,12 @@
   if (request.deadline.count() == 0 || runtime == runtimes_.end()) {
     return std::nullopt;
   }
-  const Duration most = Part(route.objective, options_.knobs.longest_spent);
-  // Where clients wait about as long as the route lets them, its own limit tells the whole time;
-  // otherwise the longest one seen here does.
-  const Duration seen = runtime->second.longest_patience;
+  const Duration most = Part(route.objective, options_.knobs.max_client_spent_share);
+  // If clients wait about as long as the route allows, the route's time-out is the total time;
+  // otherwise the longest deadline seen is.
+  const Duration seen = runtime->second.max_client_deadline;
   const bool near_timeout = route.timeout >= seen && route.timeout - seen <= most;
-  if (!near_timeout && runtime->second.patiences < kTellingPatiences) {
+  if (!near_timeout && runtime->second.deadline_samples < kMinDeadlineSamples) {
     return std::nullopt;
   }
   const Duration spent = (near_timeout ? route.timeout : seen) - request.deadline;
@@ -191,16 +194,17 @@
   const GatewayKnobs& knobs = options_.knobs;
   const std::optional<Duration> spent = SpentByClient(route, request);
   if (!spent.has_value()) {
-    return std::min(knobs.answer_margin, Part(route.objective, knobs.longest_margin));
+    return std::min(knobs.answer_margin, Part(route.objective, knobs.max_answer_margin_share));
   }
-  return *spent + std::min(knobs.way_margin, Part(route.objective, knobs.longest_way_margin));
+  return *spent +
+         std::min(knobs.network_margin, Part(route.objective, knobs.max_network_margin_share));
 }
 
 policy::QueryPlan GatewayServer::PlanFor(const routing::Route& route,
                                          const PayloadRequest& request) const {
   policy::QueryPlan plan;
-  const Duration patience =
-      request.deadline.count() > 0 ? request.deadline - kClientHop : options_.knobs.longest_wait;
+  const Duration patience = request.deadline.count() > 0 ? request.deadline - kClientSendDelay
+                                                         : options_.knobs.default_client_timeout;
   plan.deadline = std::max(Duration(0), std::min(route.timeout, patience));
   plan.wait = std::min(plan.deadline, route.objective - AnswerMargin(route, request));
   plan.min_coverage = route.gathers() ? route.min_coverage : 1.0;
@@ -211,7 +215,7 @@
   return plan;
 }
 
-void GatewayServer::MergeForLackOfLeafs(Timestamp now, const std::vector<std::string>& services) {
+void GatewayServer::MergeIfLeafsMissing(Timestamp now, const std::vector<std::string>& services) {
   const bool lacks = std::any_of(
       services.begin(), services.end(),
       [this](const std::string& service) { return view_.UsableLeafs(service).empty(); });
@@ -227,14 +231,14 @@
 void GatewayServer::StartExecution(Timestamp now, RequestId id, const routing::Route& route,
                                    std::shared_ptr<const PayloadRequest> request,
                                    const tenants::Tenant* tenant, Timestamp arrived) {
-  std::optional<std::set<std::string>> homes = routing::HomesOf(route, tenant);
-  if (!homes.has_value()) {
+  std::optional<std::set<std::string>> allowed_regions = routing::HomesOf(route, tenant);
+  if (!allowed_regions.has_value()) {
     Refuse(now, id, std::move(request), ResultCode::kCoverageNotReached, Duration(0));
     return;
   }
   Active& active = active_[id];
   active.request = std::move(request);
-  active.homes = *std::move(homes);
+  active.allowed_regions = *std::move(allowed_regions);
   if (!table_->set().keyed) {
     active.head = HeadWithCaller(*active.request);
   }
@@ -247,9 +251,9 @@
   active.table = table_;
   active.route = &route;
   active.runtime = &RuntimeOf(route.name, route.objective);
-  active.runtime->longest_patience =
-      std::max(active.runtime->longest_patience, active.request->deadline);
-  ++active.runtime->patiences;
+  active.runtime->max_client_deadline =
+      std::max(active.runtime->max_client_deadline, active.request->deadline);
+  ++active.runtime->deadline_samples;
   active.repeatable = route.repeatable;
   active.gathers = route.gathers();
   if (StartShared(now, id, &active, arrived)) {
@@ -258,12 +262,12 @@
   const std::vector<std::string> services =
       route.gathers() ? route.shards
                       : std::vector<std::string>{active.runtime->choice.Next(route.services)};
-  MergeForLackOfLeafs(now, services);
-  const Target& target = TargetOf(services, active.homes);
+  MergeIfLeafsMissing(now, services);
+  const Target& target = TargetOf(services, active.allowed_regions);
   const config::PublishedSnapshot& snapshot = target.service->snapshots.back();
   query::CallerRequest caller;
   caller.service = route.name;
-  // The shards of one document answer a request, whatever comes meanwhile.
+  // A request keeps the shards of one document, even if a newer one arrives meanwhile.
   caller.snapshot = snapshot.id;
   query::ServiceContext context{&pool_, target.budgets.front(), active.runtime->latencies.get(),
                                 [this] { return SubRequestId{ids_.Next()}; }, target.budgets};
@@ -280,7 +284,7 @@
 }
 
 void GatewayServer::OnLeafReply(Timestamp now, const query::LeafReply& reply) {
-  witness_.OnEnded(now, reply);
+  run_tracker_.OnEnded(now, reply);
   const std::optional<Duration> latency = pool_.OnReply(now, reply);
   const auto found = request_of_.find(reply.id);
   if (found == request_of_.end()) {
@@ -312,17 +316,17 @@
     out.repeatable = active->repeatable;
     out.max_connections = std::max(ConnectionShare(record.service), active->merger_connections);
     out.keep_connection =
-        active->merger_connections > 0 || keeper_.IsPreferred(record.service, send.leaf);
+        active->merger_connections > 0 || pool_updater_.IsPreferred(record.service, send.leaf);
     if (active->merger_connections > 0) {
       out.kept_connections =
-          std::min(options_.knobs.merger_kept_connections, active->merger_connections);
+          std::min(options_.knobs.merger_retained_connections, active->merger_connections);
     }
     out.shard = send.shard;
     out.keep_headers = !active->gathers;
     out.tenant = active->tenant;
     out.head = active->head;
     out.priority = active->priority;
-    WatchRun(now, *active, out, record.service);
+    TrackRun(now, *active, out, record.service);
     output_.sends.push_back(std::move(out));
   }
   for (const query::SubRequestCancel& cancel : actions.cancels) {
@@ -406,11 +410,11 @@
   for (const SubRequestId out : it->second.out) {
     request_of_.erase(out);
   }
-  for (const uint64_t question : it->second.questions) {
-    request_of_question_.erase(question);
+  for (const uint64_t query_id : it->second.partial_query_ids) {
+    request_of_partial_query_.erase(query_id);
   }
   if (it->second.partial.has_value()) {
-    partials_.erase({it->second.partial->session, it->second.partial->question});
+    partials_.erase({it->second.partial->session, it->second.partial->query_id});
   }
   active_.erase(it);
 }
@@ -420,10 +424,10 @@
 void GatewayServer::Tick(Timestamp now) {
   view_.Tick(now);
   SyncPool(now);
-  GreetControl(now);
+  MaintainControlLinks(now);
   ReleaseEarly(now);
   gate_.limits().Tick(now, subscriber_.proven_at());
-  CollectEntry(now);
+  ApplyLimitOutput(now);
   ReportRuns(now);
   WakeRequests(now);
 }
@@ -436,20 +440,21 @@
   std::stable_sort(due.begin(), due.end(),
                    [](const auto& a, const auto& b) { return a.first < b.first; });
   for (const auto& [priority, id] : due) {
-    // One that came before it may have ended it.
+    // A request handled before may have removed this one.
     if (active_.contains(id)) {
       Advance(now, id);
     }
     const auto it = active_.find(id);
     if (it != active_.end() && it->second.wake <= now) {
-      // Asks to be called at once again: the loop's next turn is soon enough.
+      // The request asks to be advanced again at once; the next iteration of the loop is soon
+      // enough.
       Schedule(id, now + Milliseconds(1));
     }
   }
 }
 
 Timestamp GatewayServer::NextWake(Timestamp now) const {
-  Timestamp wake = now + kLongestSleep;
+  Timestamp wake = now + kMaxSleep;
   if (!wakes_.empty()) {
     wake = std::min(wake, wakes_.begin()->first);
   }
@@ -459,7 +464,7 @@
   for (const auto& [id, early] : early_) {
     wake = std::min(wake, early.until);
   }
-  if (witness_.has_report()) {
+  if (run_tracker_.has_report()) {
     wake = std::min(wake, runs_reported_ + options_.knobs.run_report_interval);
   }
   wake = std::min(wake, reports_.next().value_or(wake));
--- a/src/gateway/gateway_server.h
+++ b/src/gateway/gateway_server.h
@@ -1,6 +1,6 @@
-// A gateway: takes clients' requests, finds their route, runs each as an execution over the leafs
-// of its service or shards, and answers. Follows the configuration and the leafs by word of the
-// control machines. No socket, clock or thread: events in, output out.
+// A gateway: accepts clients' requests, finds their route, runs each as an execution over the leafs
+// of its service or shards, and answers. Follows the configuration and the leafs through the
+// control machines. No sockets, clock or threads: events in, output out.
 #pragma once
 
 #include <map>
@@ -36,118 +36,122 @@
 
 namespace pumicedyke::gateway {
 
-/// Bound of extra sub-requests that all gateways keep together, per service.
+/// Limit of extra sub-requests of all gateways together, per service.
 struct ExtraLoadBound {
   Duration window = Seconds(10);
-  /// Extra sub-requests per request for the service.
+  /// Extra sub-requests per request to the service.
   double ratio = 0.1;
-  /// Extra sub-requests beyond that, shared by all gateways.
+  /// Extra sub-requests beyond the ratio, shared by all gateways.
   double allowance = 10;
 };
 
 struct GatewayKnobs {
   balance::BalanceKnobs balance{.loss_growth = 2.0, .remote_penalty = 3, .max_limit_per_slot = 1.0};
-  /// An answer with enough shards goes out this long before the route's objective is over, if what
-  /// the client spent before it sent the request is known: the way of the request and of the
-  /// answer.
-  Duration way_margin = Milliseconds(10);
-  /// If it is not known: the making of the client's connection is in it, too.
+  /// If the time that the client spent before it sent the request is known, an answer with enough
+  /// shards leaves this long before the end of the route's objective. It covers the network latency
+  /// of request and answer.
+  Duration network_margin = Milliseconds(10);
+  /// Used if that time is unknown: also covers the set-up of the client's connection.
   Duration answer_margin = Milliseconds(20);
-  /// A margin is no more than this part of the objective.
-  double longest_way_margin = 0.2;
-  double longest_margin = 0.36;
-  /// A client that seems to have spent more than this part of the objective before it sent the
-  /// request has begun anew meanwhile.
-  double longest_spent = 0.7;
-  /// Latency quantile after which a shard is asked a second time.
+  /// Upper bounds of the two margins, as fractions of the objective.
+  double max_network_margin_share = 0.2;
+  double max_answer_margin_share = 0.36;
+  /// A client that appears to have spent more than this fraction of the objective before it sent
+  /// the request is taken to have started over, and its time spent counts as unknown.
+  double max_client_spent_share = 0.7;
+  /// Latency quantile after which a sub-request is hedged.
   double hedge_quantile = 0.95;
-  /// Longest time that a client without a deadline of its own is taken to wait.
-  Duration longest_wait = Seconds(600);
-  /// Routes are expected this long after the start. A request that comes much earlier is told to
-  /// come back then; a later one waits for them.
+  /// Time that a client without a deadline is assumed to wait.
+  Duration default_client_timeout = Seconds(600);
+  /// Routes are expected this long after the start. A request that arrives much earlier is refused
+  /// with this time as retry hint; a later one waits for the routes.
   Duration expected_start = Milliseconds(400);
-  Duration shortest_start_refusal = Milliseconds(100);
-  /// A request that comes before this gateway knows any route waits for them this long, and no
-  /// longer than this part of what its client waits.
-  Duration longest_start_wait = Milliseconds(1000);
-  int start_wait_part = 2;
-  /// What is not known here is refused as unknown, which clients take as final, if the
-  /// configuration was proved current no longer ago than this.
+  Duration min_start_refusal = Milliseconds(100);
+  /// A request that arrives before any route is known waits at most this long, and at most the
+  /// client's deadline divided by `start_wait_divisor`.
+  Duration max_start_wait = Milliseconds(1000);
+  int start_wait_divisor = 2;
+  /// Unknown paths and keys are refused as unknown, which clients take as final, only if the
+  /// configuration was proven current within this time.
   Duration refusal_proof_age = Milliseconds(1000);
-  /// Executions in progress beyond which requests are refused.
+  /// Number of executions in progress above which requests are refused.
   size_t max_in_progress = 400;
   Duration presence_interval = Milliseconds(500);
-  /// The same, for each gateway there is, to control machines that are not followed: each of them
-  /// gets so many greetings a second from all gateways together, 1,000, up to a thousand gateways.
-  /// Beyond, `longest_presence_interval` holds: after 1.8 s without a greeting clients are sent
-  /// elsewhere.
+  /// Presence interval per gateway of the fleet for control machines that are not followed: each of
+  /// them receives at most 1,000 presence messages per second from up to 1,000 gateways. In larger
+  /// fleets `max_presence_interval` applies, because a gateway without a presence message for 1.8 s
+  /// is no longer named to clients.
   Duration presence_interval_per_gateway = Milliseconds(1);
-  Duration longest_presence_interval = Milliseconds(1000);
-  /// The same, to the one that is followed, until the first routes came and for `peers_settle`
-  /// after it has told of a gateway that came or went.
+  Duration max_presence_interval = Milliseconds(1000);
+  /// Presence interval for the followed control machine until the first routes arrive, and for
+  /// `peers_settle_time` after it has reported a change of the gateways.
   Duration starting_presence_interval = Milliseconds(100);
-  Duration peers_settle = Seconds(1);
-  /// A control machine that answered no greeting for this long is lost.
-  Duration control_silence = Seconds(2);
-  /// A control machine that came back is followed for its nearness only after this.
-  Duration settled_control = Seconds(2);
-  /// One that fell silent while it was followed is left alone for this long: it may be cut off from
-  /// the others without knowing it.
-  Duration silent_control_avoided = Seconds(10);
-  /// Gateways that may come at any time: connections and budgets are shared with one more.
+  Duration peers_settle_time = Seconds(1);
+  /// A control machine that has not answered for this long counts as disconnected.
+  Duration control_timeout = Seconds(2);
+  /// A control machine must have been in touch with a quorum for this long before it is followed
+  /// for being in the same zone.
+  Duration control_settle_time = Seconds(2);
+  /// A control machine that stopped answering while it was followed is not followed again for this
+  /// long: it may be partitioned from the others without noticing.
+  Duration control_avoid_time = Seconds(10);
+  /// Number of gateways that may be added at any time: connections and budgets are divided by the
+  /// current number plus this one.
   uint32_t spare_gateways = 1;
-  /// Part of what a cold leaf bears that all gateways together send it: they may differ for a
-  /// moment on who of them sends.
+  /// Fraction of a cold leaf's capacity that all gateways together use. Their views of which
+  /// gateways send to the leaf may differ for a short time.
   double cold_share = 0.75;
-  /// Off: every gateway gathers alone.
+  /// If false, every gateway gathers alone.
   bool share_gathers = true;
   SharingCosts sharing_costs;
   query::SharedGatherOptions shared_gather;
-  /// A merger has to confirm a question within this part of the objective, at least
-  /// `shared_gather.accept_patience`: a first connection to another zone takes 6 ms.
-  int accept_part = 8;
-  /// Later parts are reported no more often than this.
+  /// A merger has to accept a partial query within the objective divided by this, but at least
+  /// within `shared_gather.accept_patience`: the first connection to another zone takes 6 ms.
+  int accept_timeout_divisor = 8;
+  /// Minimum interval between reports of later shard results.
   Duration report_interval = Milliseconds(3);
-  /// A merger says at least this often that it is there.
-  Duration sign_of_life = Milliseconds(50);
-  /// One that was silent is asked last for this long.
-  Duration merger_suspicion = Seconds(2);
-  /// Part of the allowance of extra sub-requests that the owners of a shard share; all gateways
-  /// share the rest, which is little for each: what is sent to a shard goes through its owners.
+  /// Maximum interval between messages of a merger about a partial query.
+  Duration progress_interval = Milliseconds(50);
+  /// Time for which a merger that did not respond is ranked last.
+  Duration merger_suspect_time = Seconds(2);
+  /// Fraction of the allowance of extra sub-requests that the owners of a shard share. All gateways
+  /// share the rest, which is little for each, because sub-requests to a shard are sent by its
+  /// owners.
   double mergers_allowance_share = 0.9;
-  /// Part of a leaf's connections that the mergers of its shard share.
+  /// Fraction of a leaf's connections that the mergers of its shard share.
   double mergers_connection_share = 0.75;
-  /// When to come back with a request that the fleet has stopped.
+  /// Retry hint for quarantined requests.
   Duration retry_when_quarantined = Seconds(60);
   quarantine::WitnessOptions witness;
-  /// What was seen of lost runs is told to control this soon.
+  /// Minimum interval between reports of lost runs to control.
   Duration run_report_interval = Milliseconds(20);
-  /// What a gateway cannot see of an answer's lateness: clients tell whole milliseconds, and the
-  /// answer's bytes take time on the links.
-  Duration unseen_lag = Milliseconds(2);
-  /// Connections that a merger keeps to each leaf of its shards: as many as a leaf mostly works on
-  /// at once. One that is made anew takes longer than a tight aim bears.
-  size_t merger_kept_connections = 2;
-  /// Answers after which one counts half for what is known of their lag.
-  double lag_memory = 32;
-  /// Requests with more body than this are gathered alone: each merger would need a copy.
-  size_t longest_shared_body = 16 * 1024;
+  /// Part of an answer's latency that a gateway cannot observe: clients send deadlines in whole
+  /// milliseconds, and the answer's bytes take time on the network.
+  Duration unobserved_lag = Milliseconds(2);
+  /// Connections that a merger keeps open to each leaf of its shards, which matches how many
+  /// sub-requests a leaf mostly works on at once. Opening a new connection takes longer than a
+  /// tight objective allows.
+  size_t merger_retained_connections = 2;
+  /// Number of answers after which a lag sample has half its weight.
+  double lag_half_life_samples = 32;
+  /// Requests with a larger body are gathered alone, because each merger would need a copy.
+  size_t max_shared_body_bytes = 16 * 1024;
 };
 
 struct GatewayOptions {
   std::string cluster;
   std::string node;
   std::string zone;
-  /// Where clients reach this gateway.
+  /// Address for clients.
   std::string address;
-  /// Where other gateways reach it; empty: it works alone.
+  /// Address for other gateways; empty: this gateway gathers alone.
   std::string peer_address;
-  /// Where each zone lies.
+  /// Region of each zone.
   RegionMap regions;
-  /// Cores that it may use.
+  /// Number of cores that this gateway may use.
   double processor_share = 1;
   uint64_t incarnation = 0;
-  /// Frame addresses of the control machines to begin with.
+  /// Initial frame addresses of the control machines.
   std::vector<std::string> control;
   ExtraLoadBound extra_load;
   admission::EntryOptions entry;
@@ -165,24 +169,24 @@
   wire::Envelope envelope;
 };
 
-/// A control machine was lost, or was heard again or for the first time.
+/// A control machine was disconnected, or was contacted again or for the first time.
 struct ControlLinkChange {
   std::string address;
   bool up = false;
 };
 
-/// A question, or its end, for another gateway.
+/// A partial query, or its cancellation or confirmation, for another gateway.
 struct PeerMessage {
   std::string address;
   wire::Envelope envelope;
-  /// Of the request that it is about; zero is the most urgent.
+  /// Priority of the request; zero is the most urgent.
   int priority = 0;
 };
 
-/// Names one connection of another gateway to this one.
+/// Identifies one connection from another gateway.
 using PeerSessionId = uint64_t;
 
-/// Word to a gateway that asked.
+/// A reply to a gateway that sent a partial query.
 struct PeerReply {
   PeerSessionId session = 0;
   wire::Envelope envelope;
@@ -192,26 +196,26 @@
 
 struct GatewayOutput {
   std::vector<LeafSend> sends;
-  /// Leafs that were closed to new work: what was not written to them yet must not be.
+  /// Leafs closed to new work: requests to them that are not written yet must not be sent.
   std::vector<std::string> closed_leafs;
-  /// Leafs of which something else is known now, for the log.
+  /// Leafs whose record has changed, for the log.
   std::vector<std::string> leaf_changes;
   std::vector<LeafCancel> cancels;
   std::vector<GatewayAnswer> answers;
   std::vector<ControlMessage> control;
-  /// Control machines whose connection should be made anew.
+  /// Control machines to reconnect to.
   std::vector<std::string> reconnect;
   std::vector<ControlLinkChange> link_changes;
   std::vector<PeerMessage> peer_messages;
   std::vector<PeerReply> peer_replies;
   std::vector<PartialTrace> partials;
-  /// What control is told of lost runs, for the log.
+  /// Report of lost runs sent to control, for the log.
   std::optional<wire::RunReport> runs_reported;
 };
 
 class GatewayServer {
  public:
-  /// @param documents outlives this object.
+  /// @param documents must outlive this object.
   GatewayServer(GatewayOptions options, const routing::DocumentReader* documents, Timestamp now);
   ~GatewayServer();
   GatewayServer(const GatewayServer&) = delete;
@@ -220,44 +224,46 @@
   void Tick(Timestamp now);
   Timestamp NextWake(Timestamp now) const;
 
-  /// Answered by a GatewayAnswer with this id, always, unless the client leaves first.
-  /// @param arrived when it may have arrived at the earliest; times of the route count from then.
+  /// Starts a request. It is always answered by a GatewayAnswer with this id, unless the client
+  /// disconnects first.
+  /// @param arrived earliest possible time of arrival; the times of the route count from then.
   void OnRequest(Timestamp now, RequestId id, std::shared_ptr<const PayloadRequest> request,
                  Timestamp arrived);
   void OnClientGone(Timestamp now, RequestId id);
-  /// The last byte of an answer was handed to the operating system.
+  /// Called when the last byte of an answer has been passed to the operating system.
   void OnAnswerWritten(Timestamp now, const RequestTrace& trace);
   void OnLeafReply(Timestamp now, const query::LeafReply& reply);
-  /// What became of a sub-request that was cancelled and whose leaf was left to finish.
+  /// Outcome of a cancelled sub-request whose leaf was allowed to finish.
   void OnAbandonedReply(Timestamp now, const query::LeafReply& reply);
-  /// Nothing will be heard of a cancelled sub-request.
-  void OnSendDropped(SubRequestId id) { witness_.OnDropped(id); }
+  /// Called when no outcome of a cancelled sub-request is to be expected.
+  void OnSendDropped(SubRequestId id) { run_tracker_.OnDropped(id); }
 
   void OnControlMessage(Timestamp now, const std::string& address, const wire::Envelope& envelope);
   void OnControlDisconnected(Timestamp now, const std::string& address);
 
-  /// Another gateway asks, or no longer does. @param arrived as for OnRequest().
+  /// Handles a message from another gateway that uses this one as merger.
+  /// @param arrived as for OnRequest().
   void OnPeerQuestion(Timestamp now, PeerSessionId session, const wire::Envelope& envelope,
                       Timestamp arrived);
   void OnPeerSessionClosed(Timestamp now, PeerSessionId session);
-  /// A gateway that was asked answers.
+  /// Handles a reply from a gateway that this one has sent a request to.
   void OnPeerWord(Timestamp now, const std::string& address, const wire::Envelope& envelope);
   void OnPeerLost(Timestamp now, const std::string& address);
 
-  /// More control machines are known.
+  /// Adds control machines that are not known yet.
   void LearnControl(const std::vector<std::string>& addresses);
-  /// Clients are sent elsewhere from now on; what comes is still served.
+  /// Directs clients to other gateways from now on; requests that still arrive are served.
   void StartDraining(Timestamp now);
   bool Drained() const { return active_.empty() && early_.empty() && held_.empty(); }
-  /// Knows routes and may be sent clients.
+  /// Returns whether routes are known and clients may be directed here.
   bool ready() const { return table_ != nullptr && !draining_; }
 
-  /// Of all that waits to be sent, the more urgent comes first; what is about the same request
-  /// stays in order.
+  /// Returns pending output sorted by priority; messages about the same request stay in order.
   GatewayOutput TakeOutput();
 
-  /// Where a client may go, best first, by what was last heard of the gateways. One that
-  /// knows of no others names itself. Empty: nowhere.
+  /// Returns the addresses of gateways that a client may use, best first, from the latest view of
+  /// the gateways. A gateway that knows no others returns its own address. Empty: none is
+  /// available.
   std::vector<std::string> GatewaysFor(const directory::ClientPlace& client) const;
 
   uint64_t document_version() const { return table_ == nullptr ? 0 : table_->version(); }
@@ -265,107 +271,110 @@
   const LeafView& leafs() const { return view_; }
   const PeerView& peers() const { return peers_; }
   size_t in_progress() const { return active_.size(); }
-  /// How long sub-requests of a route took of late, by quantile; zero: the route has asked no leaf.
+  /// Returns a quantile of the recent sub-request latencies of a route; zero if there were none.
   Duration LeafLatency(const std::string& route, double quantile) const;
-  /// Requests that are sent to no leaf.
+  /// Requests that must not be sent to leafs.
   const std::set<RequestIdentity>& quarantined() const { return quarantined_; }
   const limits::TenantLimits& limits() const { return gate_.limits(); }
   uint64_t config_version() const { return subscriber_.config().version().value; }
   Duration ConfigAge(Timestamp now) const { return subscriber_.Age(now); }
-  /// Whether requests with keys may begin as far as the keys' age goes; true if no route needs any.
+  /// Returns whether requests with keys may start as far as the age of the keys is concerned; true
+  /// if no route needs keys.
   bool KeysProven(Timestamp now) const;
 
  private:
-  /// What is kept per route name across documents.
+  /// State per route name that is retained across documents.
   struct RouteRuntime {
     std::unique_ptr<balance::LatencyTracker> latencies;
     routing::WeightedChoice choice;
-    /// The longest time that a client of this route said it would wait.
-    Duration longest_patience{};
-    /// How many said so.
-    uint64_t patiences = 0;
-    /// When the parts of its answers come, if gateways share them; made for its first answer.
+    /// Longest deadline sent by a client of this route.
+    Duration max_client_deadline{};
+    /// Number of requests counted for it.
+    uint64_t deadline_samples = 0;
+    /// Arrival times of the shard results, if gathers are shared; created for the first answer.
     std::optional<query::ArrivalCurve> arrivals;
   };
-  /// The shards of a route or the leafs of a service, as an execution wants them.
+  /// The shards of a route or the leafs of a service, in the form that an execution takes.
   struct Target {
     uint64_t view_version = 0;
     std::shared_ptr<config::Service> service;
     std::vector<balance::ExtraLoadLimit*> budgets;
   };
-  /// A group of shards that another gateway asked for.
+  /// Work on a group of shards for another gateway.
   struct PartialJob {
     PeerSessionId session = 0;
-    uint64_t question = 0;
+    uint64_t query_id = 0;
     size_t top_records = 0;
     std::string route;
-    Timestamp begun{};
-    /// What is in by then is reported, and what comes later as it comes.
+    Timestamp started{};
+    /// Shard results that are available by this time are reported then, later ones as they arrive.
     Timestamp report_at{};
-    Timestamp last_word{};
+    Timestamp last_reply{};
     std::vector<query::ShardPayload> unreported;
-    /// Shards that were given up and not told yet.
+    /// Shards that were abandoned and not reported yet.
     std::vector<query::MissingShard> unreported_gaps;
-    /// Given up so far, and how many of them the whole gather can do without.
+    /// Number of abandoned shards so far, and how many of them the whole gather can do without.
     size_t gaps = 0;
     size_t may_miss = 0;
   };
   struct Active {
     std::shared_ptr<const PayloadRequest> request;
-    /// Keeps the route alive.
+    /// Owns `route`.
     std::shared_ptr<const routing::RouteTable> table;
     /// Null for a partial job.
     const routing::Route* route = nullptr;
     RouteRuntime* runtime = nullptr;
     bool repeatable = true;
     bool gathers = false;
-    /// Whose it is; empty: nobody's.
+    /// Name of the tenant; empty: none.
     std::string tenant;
     /// Zero is the most urgent.
     int priority = 0;
-    /// Regions whose leafs alone may be asked; empty: any.
-    std::set<std::string> homes;
-    /// What goes to leafs instead of the request's own head; null: that goes.
+    /// Regions whose leafs may be queried; empty: all.
+    std::set<std::string> allowed_regions;
+    /// Replaces the request's encoded head for leafs; null: not replaced.
     std::shared_ptr<const std::string> head;
-    /// Exactly one of these works on it.
+    /// Exactly one of `execution` and `shared` is set.
     std::unique_ptr<query::RequestExecution> execution;
     std::unique_ptr<query::SharedGather> shared;
     std::optional<PartialJob> partial;
-    /// As one of the mergers of its shards, this gateway may hold so many connections to each leaf.
+    /// Number of connections that this gateway may hold to each leaf as a merger of its shard.
     size_t merger_connections = 0;
     Timestamp wake{};
     std::vector<SubRequestId> out;
-    /// If it is shared: its groups, and the questions asked.
+    /// Only for shared gathers: the groups, and the ids of the partial queries sent.
     std::vector<query::ShardRange> ranges;
-    std::vector<uint64_t> questions;
-    /// How many groups each merger was asked for, by address.
-    std::map<std::string, size_t> given;
+    std::vector<uint64_t> partial_query_ids;
+    /// Number of groups assigned to each merger, by address.
+    std::map<std::string, size_t> assigned_groups;
   };
-  /// A request that came before any route was known, or whose route or key is not known and may be
-  /// new.
+  /// A request that waits because it arrived before any route was known, or because its route or
+  /// key is unknown but may have been added meanwhile.
   struct EarlyRequest {
     std::shared_ptr<const PayloadRequest> request;
     Timestamp arrived;
-    /// Refused then.
+    /// Time at which it is refused.
     Timestamp until;
-    /// Of the routes that were known; zero: none were.
+    /// Version of the routes known when it arrived; zero: none.
     uint64_t document_version = 0;
   };
-  /// A request whose tenant's limit is being asked for.
+  /// A request that waits for the decision on its tenant's limit.
   struct HeldRequest {
     std::shared_ptr<const PayloadRequest> request;
     Timestamp arrived;
   };
   struct ControlLink {
     Timestamp next_presence{};
-    Timestamp last_heard{};
+    Timestamp last_contact{};
     Timestamp last_reset{};
     bool up = false;
-    /// In this gateway's zone.
+    /// Whether the control machine is in this gateway's zone.
     bool near = false;
-    /// Since when it has said that it is in touch with a quorum; unset: it says that it is not.
+    /// Time since which the control machine has reported to be in touch with a quorum; unset: it is
+    /// not.
     std::optional<Timestamp> current_since;
-    /// Not followed for its nearness before this: it fell silent when it was.
+    /// Not followed for being in the same zone before this time, because it stopped answering while
+    /// it was followed.
     Timestamp avoided_until{};
   };
 
@@ -373,47 +382,49 @@
   void OnLeafFeed(Timestamp now, const std::string& address, const wire::LeafFeed& feed);
   void AdoptDocument(Timestamp now);
   void SyncPool(Timestamp now);
-  /// Limits what goes to cold leafs.
+  /// Updates the limits of requests to cold leafs.
   void SyncCold(Timestamp now);
-  /// Parts of what cold leafs of each service bear that are this gateway's, where the gathers over
-  /// the service are shared.
-  std::map<std::string, double> ColdPartsOfMergers();
-  /// The same for a leaf that any gateway may send to: a few of them do.
-  double ColdPartOf(const std::string& leaf, double per_second) const;
-  /// Until when a leaf counts as cold; zero: it does not.
+  /// Returns this gateway's fraction of the capacity of cold leafs, by service, for services with
+  /// shared gathers.
+  std::map<std::string, double> ColdSharesOfMergers();
+  /// Returns this gateway's fraction of the capacity of a cold leaf that any gateway may use: only
+  /// a few of them send to it.
+  double ColdShareOf(const std::string& leaf, double per_second) const;
+  /// Returns the time until which a leaf counts as cold; zero: it is not cold.
   Timestamp ColdUntil(const wire::LeafRecord& record, const routing::ServiceSpec& service) const;
-  void GreetControl(Timestamp now);
+  void MaintainControlLinks(Timestamp now);
   Duration PresenceInterval(Timestamp now, const std::string& address) const;
-  /// Turns to a control machine that is there, if the one asked for the first routes is not.
-  void TurnToLiveControl(Timestamp now);
-  /// Follows a control machine of the own zone, if there is one that has been in touch with a
-  /// quorum for a while: what it sends crosses no zone.
-  void TurnToNearControl(Timestamp now);
-  /// Takes note if the near control machine that was followed has been left for its silence.
+  /// Follows a reachable control machine if the one asked for the first routes is not reachable.
+  void SwitchToLiveControl(Timestamp now);
+  /// Follows a control machine of this gateway's zone, if one has been in touch with a quorum for
+  /// long enough: this avoids traffic between zones.
+  void SwitchToNearControl(Timestamp now);
+  /// Records if the followed control machine of this zone was left because it stopped answering.
   void NoteNearControlLeft(Timestamp now);
   void AddControl(const std::string& address);
   void SetLink(const std::string& address, bool up);
   wire::Envelope Presence(const std::string& address) const;
 
-  /// @param homes regions whose leafs alone may be asked; empty: any.
+  /// @param allowed_regions regions whose leafs may be queried; empty: all.
   const Target& TargetOf(const std::vector<std::string>& services,
-                         const std::set<std::string>& homes);
-  /// Usable leafs of a service in these regions.
-  std::vector<std::string> LeafsIn(const std::set<std::string>& homes,
+                         const std::set<std::string>& allowed_regions);
+  /// Returns the usable leafs of a service in these regions.
+  std::vector<std::string> LeafsIn(const std::set<std::string>& allowed_regions,
                                    const std::string& service) const;
-  bool IsHome(const std::set<std::string>& homes, const std::string& zone) const {
-    return homes.empty() || homes.contains(options_.regions.Of(zone));
+  bool IsAllowedZone(const std::set<std::string>& allowed_regions, const std::string& zone) const {
+    return allowed_regions.empty() || allowed_regions.contains(options_.regions.Of(zone));
   }
-  /// @param allowance this gateway's part of the extra sub-requests beyond the share.
+  /// @param allowance this gateway's share of the extra sub-requests beyond the ratio.
   balance::ExtraLoadLimit* BudgetOf(const std::string& service, double allowance);
-  /// The part of a gateway that is none of the service's mergers.
-  double OrdinaryAllowance(bool shared) const;
+  /// Returns the allowance of a gateway that is not a merger of the service.
+  double NonMergerAllowance(bool shared) const;
   RouteRuntime& RuntimeOf(const std::string& route, Duration objective);
   policy::QueryPlan PlanFor(const routing::Route& route, const PayloadRequest& request) const;
-  /// Time before its objective at which an answer has to leave.
+  /// Returns how long before the end of the objective an answer has to leave.
   Duration AnswerMargin(const routing::Route& route, const PayloadRequest& request) const;
-  /// What the client spent on finding and reaching this gateway, by the time that it still waits:
-  /// clients of a route wait alike. Unset: it cannot be told.
+  /// Returns the time that the client spent on finding and reaching this gateway. It is inferred
+  /// from the remaining deadline, since the clients of a route use the same time-out. Unset:
+  /// unknown.
   std::optional<Duration> SpentByClient(const routing::Route& route,
                                         const PayloadRequest& request) const;
   size_t ConnectionShare(const std::string& service) const;
@@ -422,99 +433,105 @@
   void HoldEarly(Timestamp now, RequestId id, std::shared_ptr<const PayloadRequest> request,
                  Timestamp arrived);
   void RefuseEarly(Timestamp now, RequestId id, std::shared_ptr<const PayloadRequest> request);
-  /// Begins anew with the early requests once it is known what to do with them, and refuses those
-  /// that waited long enough.
+  /// Restarts early requests once their route or key can be decided, and refuses those that have
+  /// waited long enough.
   void ReleaseEarly(Timestamp now);
-  /// Whether a route or key that is not known here is not in force, or only since a moment ago.
+  /// Returns whether a route or key that is unknown here is not in force, unless it was added very
+  /// recently.
   bool RefusalsProven(Timestamp now) const {
     return subscriber_.Age(now) <= options_.knobs.refusal_proof_age;
   }
-  /// Its path or key is not known here: refused if that is proved, else it waits for proof. Without
-  /// a key it waits for nothing.
+  /// Handles an unknown path or key: refuses the request if the configuration is proven current,
+  /// else lets it wait for the proof. A request without a key is refused at once.
   void RefuseUnknown(Timestamp now, RequestId id, std::shared_ptr<const PayloadRequest> request,
                      Timestamp arrived, ResultCode code);
-  /// When the keys in force here were last proved to be those that operators were told of.
+  /// Returns when the keys in force here were last proven to be the committed ones.
   Timestamp KeysProvenAt() const;
-  /// The limit allows it: starts it, unless it is not allowed any more.
-  void BeginHeld(Timestamp now, RequestId id, const HeldRequest& held);
-  /// Carries out what the limits of tenants ask for.
-  void CollectEntry(Timestamp now);
-  void TellLimitsOfGateways(Timestamp now);
-  // Requests that end the leafs that run them.
-  /// Takes over which requests are stopped, and stops those in progress.
-  void TakeQuarantine(Timestamp now);
+  /// Starts a held request after its limit was granted, if it is still permitted.
+  void StartHeld(Timestamp now, RequestId id, const HeldRequest& held);
+  /// Processes the output of the tenants' limits.
+  void ApplyLimitOutput(Timestamp now);
+  void UpdateLimitGateways(Timestamp now);
+  // Requests that crash the leafs that run them.
+  /// Applies the list of quarantined requests and stops those in progress.
+  void ApplyQuarantine(Timestamp now);
   void StopQuarantined(Timestamp now, RequestId id);
-  void WatchRun(Timestamp now, const Active& active, const LeafSend& send,
+  void TrackRun(Timestamp now, const Active& active, const LeafSend& send,
                 const std::string& service);
-  /// Tells every control machine what was seen since the last time.
+  /// Reports new lost runs to every control machine.
   void ReportRuns(Timestamp now);
-  /// Execution options for a request: one that lost leafs before is tried at one of them first.
+  /// Returns the execution options for a request: a request that has lost leafs before is tried at
+  /// one leaf first.
   query::ExecutionOptions ExecutionOptionsFor(Timestamp now, const PayloadRequest& request) const;
 
-  /// Where a service has no usable leaf, reports that wait take effect at once.
-  void MergeForLackOfLeafs(Timestamp now, const std::vector<std::string>& services);
+  /// Applies pending leaf reports at once if a service has no usable leaf.
+  void MergeIfLeafsMissing(Timestamp now, const std::vector<std::string>& services);
   void StartExecution(Timestamp now, RequestId id, const routing::Route& route,
                       std::shared_ptr<const PayloadRequest> request, const tenants::Tenant* tenant,
                       Timestamp arrived);
   void Collect(Timestamp now, RequestId id);
   void CollectSends(Timestamp now, Active* active, RequestId id,
                     const query::ExecutionActions& actions);
-  /// Lets whatever works on the request go on.
+  /// Advances the execution or the shared gather of a request.
   void Advance(Timestamp now, RequestId id);
 
-  // Sharing a request's shards with other gateways: as the one that the client reached.
-  /// Groups that the shards of a route are cut into for other gateways; 1: none is asked.
+  // Shared gathers: this gateway as root, which the client reached.
+  /// Returns the number of groups that the shards of a route are divided into; 1: the gather is not
+  /// shared.
   size_t GroupsOf(const routing::Route& route) const;
-  /// How much of the objective is left to gateways from a request's arrival on: what the client has
-  /// spent, the way in both directions and what cannot be seen are off. Unset: it cannot be told.
-  std::optional<Duration> LeftToGateways(const routing::Route& route,
-                                         const PayloadRequest& request) const;
-  /// Decides when an answer that lacks parts goes out by what was learnt, where there is enough to
-  /// go by.
-  void SetLearntDue(const Active& active, query::SharedGather* shared);
-  /// As PlanFor(), but the answer is due earlier by the time that the words of all mergers take.
+  /// Returns the part of the objective that is left to the gateways from the request's arrival,
+  /// after subtracting the time spent by the client, the round trip and the unobserved lag. Unset:
+  /// unknown.
+  std::optional<Duration> TimeLeftForGateways(const routing::Route& route,
+                                              const PayloadRequest& request) const;
+  /// Determines the due time of partial answers from observed arrival times and lags, if there are
+  /// enough samples.
+  void SetLearnedDue(const Active& active, query::SharedGather* shared);
+  /// As PlanFor(), but the answer is due earlier by the time needed to process the answers of all
+  /// mergers.
   policy::QueryPlan SharedPlanFor(const routing::Route& route, const PayloadRequest& request,
                                   size_t groups) const;
-  /// Mergers report what is in this long before an answer may be due: by the way to them and back
-  /// and by the time that their words take.
+  /// Returns how long before an answer may be due mergers report available results: the round trip
+  /// to them plus the processing time of their answers.
   Duration ReportLead(size_t groups) const;
-  /// @return false if it cannot be shared or need not be.
+  /// Starts a shared gather. @return false if the request cannot or need not be shared.
   bool StartShared(Timestamp now, RequestId id, Active* active, Timestamp arrived);
   void CollectShared(Timestamp now, RequestId id);
-  void Ask(Timestamp now, const Active& active, const query::GroupQuestion& question);
-  void CancelQuestion(const Active& active, const query::GroupCancel& cancel);
+  void SendPartialQuery(Timestamp now, const Active& active, const query::GroupQuestion& partial);
+  void CancelPartialQuery(const Active& active, const query::GroupCancel& cancel);
   void AnswerShared(Timestamp now, RequestId id, const Active& active,
                     query::SharedOutcome outcome);
 
-  // The same as the one that merges a group.
+  // Shared gathers: this gateway as the merger of a group.
   void OnPartialQuery(Timestamp now, PeerSessionId session, const wire::PartialQuery& query,
                       Timestamp arrived);
-  /// Begins the work on a question.
+  /// Starts the work on a partial query.
   void StartPartial(Timestamp now, PeerSessionId session, const wire::PartialQuery& query,
                     Timestamp arrived);
   void OnPartialConfirm(Timestamp now, PeerSessionId session, const wire::PartialConfirm& confirm);
   void OnPartialCancel(Timestamp now, PeerSessionId session, const wire::PartialCancel& cancel);
   void StopPartial(Timestamp now, RequestId id, bool stop_work);
   void CollectPartial(Timestamp now, RequestId id, const std::optional<query::Answer>& answer);
-  wire::PartialAnswer TakePartialWord(PartialJob* job, wire::PartialStage stage);
-  void SendWord(PeerSessionId session, wire::PartialAnswer word, int priority);
-  /// A group by the document that is held here.
+  wire::PartialAnswer TakePartialAnswer(PartialJob* job, wire::PartialStage stage);
+  void SendPartialAnswer(PeerSessionId session, wire::PartialAnswer reply, int priority);
+  /// A group of shards according to the document held here.
   struct GroupOfRoute {
     const routing::Route* route = nullptr;
     std::vector<query::ShardRange> ranges;
     size_t index = 0;
   };
-  /// The group that a question is about; another document than the root's may cut the shards
-  /// otherwise: it is none of ours then.
+  /// Returns the group of a partial query; unset if the root has a different document, which may
+  /// divide the shards differently.
   std::optional<GroupOfRoute> FindGroup(const wire::PartialQuery& query) const;
-  /// Gateways that own the group, this one among them; zero: it is none of them.
-  size_t FellowOwners(const GroupOfRoute& group);
-  /// How many of its shards the whole gather can do without.
+  /// Returns the number of gateways that own the group, if this gateway is one of them; otherwise
+  /// zero.
+  size_t CoOwnersOf(const GroupOfRoute& group);
+  /// Returns how many of the group's shards the whole gather can do without.
   static size_t MayMissOf(const GroupOfRoute& group, const std::string& request_id);
   void Answer(Timestamp now, RequestId id, const Active& active, const query::Answer& answer);
   void Refuse(Timestamp now, RequestId id, std::shared_ptr<const PayloadRequest> request,
               ResultCode code, Duration retry_after);
-  /// Lets requests go on whose time has come, the more urgent first.
+  /// Advances the requests whose wake-up time has passed, the more urgent first.
   void WakeRequests(Timestamp now);
   void Schedule(RequestId id, Timestamp wake);
   void Remove(RequestId id);
@@ -524,50 +541,51 @@
   node::ConfigSubscriber subscriber_;
   node::IdSource ids_;
   LeafView view_;
-  /// What the limits of cold leafs were worked out from, and until when any of them holds.
-  struct ColdBasis {
-    uint64_t words = 0;
+  /// Versions of the inputs from which the limits of cold leafs were computed.
+  struct ColdLimitInputs {
+    uint64_t cold_reports = 0;
     uint64_t merges = 0;
     uint64_t document_version = 0;
     uint64_t peer_changes = 0;
-    bool operator==(const ColdBasis&) const = default;
+    bool operator==(const ColdLimitInputs&) const = default;
   };
-  ColdBasis cold_basis_;
-  /// Whether any service says what its leafs bear while they are cold.
+  ColdLimitInputs cold_limit_inputs_;
+  /// Whether any service limits requests to its cold leafs.
   bool limits_cold_leafs_ = false;
   balance::LeafPool pool_;
-  PoolKeeper keeper_;
+  PoolKeeper pool_updater_;
   std::shared_ptr<const routing::RouteTable> table_;
-  /// The newest document means nothing to this program: which keys it took away is not known.
+  /// The newest document cannot be parsed by this program, so it is unknown which keys it has
+  /// removed.
   bool document_unread_ = false;
   std::map<std::string, RouteRuntime> runtimes_;
   std::map<std::string, std::unique_ptr<balance::SlidingWindowBudget>> budgets_;
   struct TargetKey {
     std::vector<std::string> services;
-    std::set<std::string> homes;
+    std::set<std::string> allowed_regions;
     auto operator<=>(const TargetKey&) const = default;
   };
   std::map<TargetKey, Target> targets_;
   std::vector<std::string> control_;
   std::map<std::string, ControlLink> links_;
-  /// The control machine that is followed for its nearness; empty: none is.
+  /// The control machine followed because it is in this zone; empty: none.
   std::string near_control_;
   uint32_t gateways_ = 1;
   PeerView peers_;
   Timestamp peers_changed_{};
   GroupOwners owners_;
-  std::unordered_map<uint64_t, RequestId> request_of_question_;
+  std::unordered_map<uint64_t, RequestId> request_of_partial_query_;
   std::map<std::pair<PeerSessionId, uint64_t>, RequestId> partials_;
-  /// A question that is worked on only if it is confirmed.
-  struct StandBy {
+  /// A partial query that is started only once it is confirmed.
+  struct StandbyQuery {
     wire::PartialQuery query;
     Timestamp arrived{};
   };
-  std::map<std::pair<PeerSessionId, uint64_t>, StandBy> stand_by_;
-  uint64_t partials_begun_ = 0;
-  quarantine::RunWitness witness_;
+  std::map<std::pair<PeerSessionId, uint64_t>, StandbyQuery> stand_by_;
+  uint64_t partials_started_ = 0;
+  quarantine::RunWitness run_tracker_;
   quarantine::ReportSender reports_;
-  /// What passes between the moment at which an answer is due and its last byte.
+  /// Time from the due time of an answer to the writing of its last byte.
   RecentDurations answer_lag_;
   std::set<RequestIdentity> quarantined_;
   Timestamp runs_reported_{};
--- a/src/gateway/gateway_sharing.cc
+++ b/src/gateway/gateway_sharing.cc
@@ -1,5 +1,5 @@
-// The part of GatewayServer that shares the shards of a request with other gateways, as the one
-// that the client reached: cuts them into groups, chooses who merges each, and answers.
+// GatewayServer as root of shared gathers: divides the shards into groups, selects the merger of
+// each, and answers.
 #include <algorithm>
 #include <utility>
 
@@ -9,7 +9,7 @@
 namespace pumicedyke::gateway {
 namespace {
 
-/// When to come back after a gather that other gateways could not carry.
+/// Retry hint after a shared gather that failed.
 constexpr Duration kRetryAfterFailure = Milliseconds(100);
 
 }  // namespace
@@ -25,23 +25,23 @@
 policy::QueryPlan GatewayServer::SharedPlanFor(const routing::Route& route,
                                                const PayloadRequest& request, size_t groups) const {
   policy::QueryPlan plan = PlanFor(route, request);
-  const Duration words =
-      TimeForWords(groups, options_.processor_share, options_.knobs.sharing_costs);
-  plan.wait = std::max(plan.wait - words, std::min(plan.wait, route.objective / 2));
+  const Duration processing =
+      TimeForPartialAnswers(groups, options_.processor_share, options_.knobs.sharing_costs);
+  plan.wait = std::max(plan.wait - processing, std::min(plan.wait, route.objective / 2));
   return plan;
 }
 
-std::optional<Duration> GatewayServer::LeftToGateways(const routing::Route& route,
-                                                      const PayloadRequest& request) const {
+std::optional<Duration> GatewayServer::TimeLeftForGateways(const routing::Route& route,
+                                                           const PayloadRequest& request) const {
   const std::optional<Duration> spent = SpentByClient(route, request);
   if (!spent.has_value() || request.round_trip.count() == 0) {
     return std::nullopt;
   }
-  return route.objective - *spent - request.round_trip - options_.knobs.unseen_lag;
+  return route.objective - *spent - request.round_trip - options_.knobs.unobserved_lag;
 }
 
-void GatewayServer::SetLearntDue(const Active& active, query::SharedGather* shared) {
-  const std::optional<Duration> left = LeftToGateways(*active.route, *active.request);
+void GatewayServer::SetLearnedDue(const Active& active, query::SharedGather* shared) {
+  const std::optional<Duration> left = TimeLeftForGateways(*active.route, *active.request);
   if (!left.has_value()) {
     return;
   }
@@ -63,35 +63,36 @@
 
 Duration GatewayServer::ReportLead(size_t groups) const {
   const SharingCosts& costs = options_.knobs.sharing_costs;
-  return costs.hop + TimeForWords(groups, options_.processor_share, costs);
+  return costs.hop + TimeForPartialAnswers(groups, options_.processor_share, costs);
 }
 
 bool GatewayServer::StartShared(Timestamp now, RequestId id, Active* active, Timestamp arrived) {
   const routing::Route& route = *active->route;
-  // What may end leafs is tried at one of them, not at one by each merger.
-  const bool suspect = witness_.IsSuspect(now, active->request->identity);
+  // A suspect request is tried at one leaf, not at one leaf by each merger.
+  const bool suspect = run_tracker_.IsSuspect(now, active->request->identity);
   const bool may_share =
-      !suspect && active->request->body.size() <= options_.knobs.longest_shared_body;
+      !suspect && active->request->body.size() <= options_.knobs.max_shared_body_bytes;
   const size_t groups = may_share ? GroupsOf(route) : 1;
   if (groups <= 1) {
     return false;
   }
   const std::vector<query::ShardRange> ranges = CutIntoGroups(route.shards.size(), groups);
   for (size_t i = 0; i < ranges.size(); ++i) {
-    if (!owners_.Choose(now, PlaceOf(route.shards, ranges, i), active->homes, {}, {}).has_value()) {
+    if (!owners_.Choose(now, PlaceOf(route.shards, ranges, i), active->allowed_regions, {}, {})
+             .has_value()) {
       return false;
     }
   }
   query::SharedGatherOptions options = options_.knobs.shared_gather;
   options.accept_patience =
-      std::max(options.accept_patience, route.objective / options_.knobs.accept_part);
+      std::max(options.accept_patience, route.objective / options_.knobs.accept_timeout_divisor);
   const auto choose = [this, active](Timestamp when, size_t group,
                                      const std::set<std::string>& tried) {
     const GroupPlace place = PlaceOf(active->route->shards, active->ranges, group);
     std::optional<std::string> merger =
-        owners_.Choose(when, place, active->homes, tried, active->given);
+        owners_.Choose(when, place, active->allowed_regions, tried, active->assigned_groups);
     if (merger.has_value()) {
-      ++active->given[*merger];
+      ++active->assigned_groups[*merger];
     }
     return merger;
   };
@@ -99,18 +100,19 @@
   active->shared = std::make_unique<query::SharedGather>(
       SharedPlanFor(route, *active->request, groups), ranges, options, choose,
       [this] { return ids_.Next(); }, arrived);
-  SetLearntDue(*active, active->shared.get());
+  SetLearnedDue(*active, active->shared.get());
   active->shared->Advance(now);
   CollectShared(now, id);
   return true;
 }
 
-void GatewayServer::Ask(Timestamp now, const Active& active, const query::GroupQuestion& question) {
+void GatewayServer::SendPartialQuery(Timestamp now, const Active& active,
+                                     const query::GroupQuestion& partial) {
   const size_t groups = active.ranges.size();
   const policy::QueryPlan plan = SharedPlanFor(*active.route, *active.request, groups);
   const Timestamp started = active.shared->started();
   wire::PartialQuery query;
-  query.id = question.id;
+  query.id = partial.id;
   query.route = active.route->name;
   query.request_id = active.request->request_id;
   query.identity = active.request->identity;
@@ -121,19 +123,19 @@
   query.report_after = std::max(Duration(0), started + plan.wait - ReportLead(groups) - now);
   query.objective = active.route->objective;
   query.top_records = static_cast<uint32_t>(active.route->top_records);
-  query.max_attempts = question.max_attempts;
-  query.again = question.again;
-  query.stand_by = question.stand_by;
+  query.max_attempts = partial.max_attempts;
+  query.again = partial.again;
+  query.stand_by = partial.stand_by;
   query.groups = static_cast<uint32_t>(active.ranges.size());
-  query.shards = Slice(active.route->shards, active.ranges[question.group]);
+  query.shards = Slice(active.route->shards, active.ranges[partial.group]);
   query.tenant = active.tenant;
   query.priority = static_cast<uint32_t>(active.priority);
-  query.homes.assign(active.homes.begin(), active.homes.end());
+  query.homes.assign(active.allowed_regions.begin(), active.allowed_regions.end());
   output_.peer_messages.push_back(
-      {question.merger, {options_.cluster, document_version(), std::move(query)}, active.priority});
+      {partial.merger, {options_.cluster, document_version(), std::move(query)}, active.priority});
 }
 
-void GatewayServer::CancelQuestion(const Active& active, const query::GroupCancel& cancel) {
+void GatewayServer::CancelPartialQuery(const Active& active, const query::GroupCancel& cancel) {
   output_.peer_messages.push_back(
       {cancel.merger,
        {options_.cluster, document_version(), wire::PartialCancel{cancel.id, cancel.stop_work}},
@@ -144,10 +146,10 @@
   Active& active = active_.at(id);
   query::SharedGatherActions actions = active.shared->TakeActions();
   for (const std::string& merger : actions.silent) {
-    owners_.Suspect(merger, now + options_.knobs.merger_suspicion);
+    owners_.Suspect(merger, now + options_.knobs.merger_suspect_time);
   }
   for (const query::GroupCancel& cancel : actions.cancels) {
-    CancelQuestion(active, cancel);
+    CancelPartialQuery(active, cancel);
   }
   for (const query::GroupConfirmation& confirmation : actions.confirmations) {
     output_.peer_messages.push_back(
@@ -155,10 +157,10 @@
          {options_.cluster, document_version(), wire::PartialConfirm{confirmation.id}},
          active.priority});
   }
-  for (const query::GroupQuestion& question : actions.questions) {
-    request_of_question_[question.id] = id;
-    active.questions.push_back(question.id);
-    Ask(now, active, question);
+  for (const query::GroupQuestion& partial : actions.questions) {
+    request_of_partial_query_[partial.id] = id;
+    active.partial_query_ids.push_back(partial.id);
+    SendPartialQuery(now, active, partial);
   }
   if (actions.outcome.has_value()) {
     AnswerShared(now, id, active, *std::move(actions.outcome));
@@ -213,27 +215,27 @@
   }
   if (const auto* grant = std::get_if<wire::LimitGrant>(&envelope.body)) {
     gate_.limits().OnGrant(now, address, *grant);
-    CollectEntry(now);
+    ApplyLimitOutput(now);
     return;
   }
-  const auto* word = std::get_if<wire::PartialAnswer>(&envelope.body);
-  if (word == nullptr) {
+  const auto* reply = std::get_if<wire::PartialAnswer>(&envelope.body);
+  if (reply == nullptr) {
     return;
   }
   owners_.Clear(address);
-  const auto found = request_of_question_.find(word->id);
-  if (found == request_of_question_.end()) {
+  const auto found = request_of_partial_query_.find(reply->id);
+  if (found == request_of_partial_query_.end()) {
     return;
   }
   const RequestId id = found->second;
-  active_.at(id).shared->OnWord(now, *word);
+  active_.at(id).shared->OnWord(now, *reply);
   CollectShared(now, id);
 }
 
 void GatewayServer::OnPeerLost(Timestamp now, const std::string& address) {
-  owners_.Suspect(address, now + options_.knobs.merger_suspicion);
+  owners_.Suspect(address, now + options_.knobs.merger_suspect_time);
   gate_.limits().OnGatewayLost(now, address);
-  CollectEntry(now);
+  ApplyLimitOutput(now);
   std::vector<RequestId> shared;
   for (const auto& [id, active] : active_) {
     if (active.shared != nullptr) {
--- a/src/gateway/group_owners.cc
+++ b/src/gateway/group_owners.cc
@@ -7,8 +7,8 @@
 namespace pumicedyke::gateway {
 namespace {
 
-/// Shards of a group that are looked at to learn in which zones its leafs are.
-constexpr size_t kShardsLookedAt = 4;
+/// Number of shards of a group that are sampled to find the zones of its leafs.
+constexpr size_t kShardsSampled = 4;
 
 }  // namespace
 
@@ -25,12 +25,12 @@
 }
 
 std::vector<std::string> GroupOwners::ZonesOf(const std::vector<std::string>& shards,
-                                              const std::set<std::string>& homes) const {
+                                              const std::set<std::string>& allowed_regions) const {
   std::set<std::string> zones;
-  for (size_t i = 0; i < std::min(shards.size(), kShardsLookedAt); ++i) {
+  for (size_t i = 0; i < std::min(shards.size(), kShardsSampled); ++i) {
     for (const std::string& leaf : view_->UsableLeafs(shards[i])) {
       const std::string& zone = view_->leafs().at(leaf).zone;
-      if (homes.empty() || homes.contains(regions_->Of(zone))) {
+      if (allowed_regions.empty() || allowed_regions.contains(regions_->Of(zone))) {
         zones.insert(zone);
       }
     }
@@ -39,7 +39,8 @@
   if (ordered.empty()) {
     return ordered;
   }
-  // Gateways of zones without leafs spread over the others.
+  // Rotate by a hash of the node, so that gateways in zones without leafs spread over the other
+  // zones.
   const std::string text = node_ + "/" + shards.front();
   const uint64_t turn = XXH64(text.data(), text.size(), 0) % ordered.size();
   std::rotate(ordered.begin(), ordered.begin() + static_cast<long>(turn), ordered.end());
@@ -60,19 +61,18 @@
   return it->second[place.index];
 }
 
-std::optional<std::string> GroupOwners::Choose(Timestamp now, const GroupPlace& place,
-                                               const std::set<std::string>& homes,
-                                               const std::set<std::string>& tried,
-                                               const std::map<std::string, size_t>& given) {
+std::optional<std::string> GroupOwners::Choose(
+    Timestamp now, const GroupPlace& place, const std::set<std::string>& allowed_regions,
+    const std::set<std::string>& tried, const std::map<std::string, size_t>& assigned_groups) {
   Choice owner;
-  Choice stand_in;
-  for (const std::string& zone : ZonesOf(place.shards, homes)) {
+  Choice backup;
+  for (const std::string& zone : ZonesOf(place.shards, allowed_regions)) {
     const GroupMergers& mergers = MergersIn(zone, place);
-    Consider(now, mergers.owners, tried, given, &owner);
-    Consider(now, mergers.stand_ins, tried, given, &stand_in);
+    Consider(now, mergers.owners, tried, assigned_groups, &owner);
+    Consider(now, mergers.backups, tried, assigned_groups, &backup);
   }
   for (const std::optional<std::string>& choice :
-       {owner.best, stand_in.best, owner.suspect, stand_in.suspect}) {
+       {owner.best, backup.best, owner.suspect, backup.suspect}) {
     if (choice.has_value()) {
       return choice;
     }
@@ -82,11 +82,12 @@
 
 void GroupOwners::Consider(Timestamp now, std::vector<std::string> mergers,
                            const std::set<std::string>& tried,
-                           const std::map<std::string, size_t>& given, Choice* choice) const {
+                           const std::map<std::string, size_t>& assigned_groups,
+                           Choice* choice) const {
   if (mergers.empty()) {
     return;
   }
-  // Roots differ in whom they ask first, so that the owners share the load.
+  // Each root starts at a different owner, so that the owners share the load.
   const uint64_t turn = XXH64(node_.data(), node_.size(), 0) % mergers.size();
   std::rotate(mergers.begin(), mergers.begin() + static_cast<long>(turn), mergers.end());
   for (const std::string& merger : mergers) {
@@ -99,8 +100,8 @@
       choice->suspect = choice->suspect.value_or(address);
       continue;
     }
-    const auto known = given.find(address);
-    const size_t groups = known == given.end() ? 0 : known->second;
+    const auto known = assigned_groups.find(address);
+    const size_t groups = known == assigned_groups.end() ? 0 : known->second;
     if (!choice->best.has_value() || groups < choice->groups) {
       choice->best = address;
       choice->groups = groups;
@@ -108,15 +109,16 @@
   }
 }
 
-size_t GroupOwners::Fellows(const GroupPlace& place, const std::set<std::string>& homes) {
-  size_t fellows = 0;
-  bool among_them = false;
-  for (const std::string& zone : ZonesOf(place.shards, homes)) {
+size_t GroupOwners::CoOwnerCount(const GroupPlace& place,
+                                 const std::set<std::string>& allowed_regions) {
+  size_t co_owners = 0;
+  bool is_owner = false;
+  for (const std::string& zone : ZonesOf(place.shards, allowed_regions)) {
     const std::vector<std::string>& owners = MergersIn(zone, place).owners;
-    fellows += owners.size();
-    among_them |= std::find(owners.begin(), owners.end(), node_) != owners.end();
+    co_owners += owners.size();
+    is_owner |= std::find(owners.begin(), owners.end(), node_) != owners.end();
   }
-  return among_them ? fellows : 0;
+  return is_owner ? co_owners : 0;
 }
 
 }  // namespace pumicedyke::gateway
--- a/src/gateway/group_owners.h
+++ b/src/gateway/group_owners.h
@@ -1,5 +1,6 @@
-// Which gateways merge which groups of a request's shards, as one gateway sees it: the owners of
-// each group in the zones where its leafs are, in the order in which this gateway asks them.
+// Selects the mergers for the groups of a request's shards, from one gateway's point of view: the
+// owners of each group in the zones where the group's leafs are, in this gateway's order of
+// preference.
 #pragma once
 
 #include <cstddef>
@@ -18,12 +19,12 @@
 
 namespace pumicedyke::gateway {
 
-/// A group of shards of a request, and the groups beside it.
+/// A group of shards of a request, together with the names of all groups of the request.
 struct GroupPlace {
   /// Names of all groups: the first shard of each.
   std::vector<std::string> groups;
   size_t index = 0;
-  /// The shards of this one.
+  /// Shards of this group.
   std::vector<std::string> shards;
 };
 
@@ -31,10 +32,11 @@
 GroupPlace PlaceOf(const std::vector<std::string>& shards,
                    const std::vector<query::ShardRange>& ranges, size_t index);
 
-/// Lives on the event loop's thread.
+/// Confined to the event loop's thread.
 class GroupOwners {
  public:
-  /// @param node and zone of this gateway. @param view, peers and regions outlive this object.
+  /// @param node, zone of this gateway.
+  /// @param view, peers, regions must outlive this object.
   GroupOwners(std::string node, std::string zone, const LeafView* view, const PeerView* peers,
               const RegionMap* regions)
       : node_(std::move(node)),
@@ -43,52 +45,55 @@
         peers_(peers),
         regions_(regions) {}
 
-  /// @param homes regions whose leafs alone may be asked; empty: any.
-  /// @param tried addresses that must not be asked (again).
-  /// @param given how many groups of the request each merger, by address, has been asked for.
-  /// @return the address of the gateway to merge a group; unset: nobody can.
+  /// Returns the address of the gateway that is to merge a group; unset if none is available.
+  /// @param allowed_regions regions whose leafs may be queried; empty: all.
+  /// @param tried addresses that must not be selected.
+  /// @param assigned_groups number of groups of this request already assigned to each merger, by
+  /// address.
   std::optional<std::string> Choose(Timestamp now, const GroupPlace& place,
-                                    const std::set<std::string>& homes,
+                                    const std::set<std::string>& allowed_regions,
                                     const std::set<std::string>& tried,
-                                    const std::map<std::string, size_t>& given);
+                                    const std::map<std::string, size_t>& assigned_groups);
 
-  /// Gateways that own a group, this one among them; zero: it is none of them.
-  size_t Fellows(const GroupPlace& place, const std::set<std::string>& homes);
+  /// Returns the number of gateways that own the group, if this gateway is one of them; otherwise
+  /// zero.
+  size_t CoOwnerCount(const GroupPlace& place, const std::set<std::string>& allowed_regions);
 
-  /// The gateway at `address` was silent: it is asked last until then.
+  /// Ranks the gateway at `address` last until `until`, because it did not respond.
   void Suspect(const std::string& address, Timestamp until) { suspects_[address] = until; }
-  /// It has spoken.
+  /// Removes the suspicion after the gateway has responded.
   void Clear(const std::string& address) { suspects_.erase(address); }
 
  private:
-  /// The merger to ask that was found so far, by address.
+  /// Best merger found so far, by address.
   struct Choice {
     std::optional<std::string> best;
-    /// Groups of the request that it was asked for.
+    /// Groups of the request already assigned to `best`.
     size_t groups = 0;
-    /// One that was silent lately.
+    /// Fallback: a gateway that recently did not respond.
     std::optional<std::string> suspect;
   };
 
-  /// Takes a better one of `mergers`, if there is one. One that has fewer groups of this request is
-  /// better, then one of a zone that is considered first: at 0.12 cores a group of 18 shards takes
-  /// a merger 10 ms, the way to another zone and back 2 to 3 ms.
+  /// Updates `choice` if `mergers` contains a better gateway. Fewer groups of this request rank
+  /// first, then the order of zones: at 0.12 cores a group of 18 shards costs a merger 10 ms, while
+  /// a round trip to another zone takes 2 to 3 ms.
   void Consider(Timestamp now, std::vector<std::string> mergers, const std::set<std::string>& tried,
-                const std::map<std::string, size_t>& given, Choice* choice) const;
+                const std::map<std::string, size_t>& assigned_groups, Choice* choice) const;
   const GroupMergers& MergersIn(const std::string& zone, const GroupPlace& place);
-  /// Zones of these regions in which leafs of these shards are, this gateway's own first.
+  /// Returns the zones of the allowed regions that have leafs of these shards, this gateway's own
+  /// zone first.
   std::vector<std::string> ZonesOf(const std::vector<std::string>& shards,
-                                   const std::set<std::string>& homes) const;
+                                   const std::set<std::string>& allowed_regions) const;
 
   std::string node_;
   std::string zone_;
   const LeafView* view_;
   const PeerView* peers_;
   const RegionMap* regions_;
-  /// By zone and names of the groups, for `changes_` of the peers.
+  /// Cached assignments by zone and group names, valid for version `changes_` of the peers.
   std::map<std::pair<std::string, std::vector<std::string>>, std::vector<GroupMergers>> mergers_;
   uint64_t changes_ = 0;
-  /// Gateways that were silent, by address.
+  /// Time until which a gateway that did not respond is ranked last, by address.
   std::map<std::string, Timestamp> suspects_;
 };
 
--- a/src/gateway/leaf_view.cc
+++ b/src/gateway/leaf_view.cc
@@ -27,14 +27,14 @@
   }
   if (feed.from_version == 0) {
     state.unconfirmed.merge(state.records);
-    state.unconfirmed_until = now + options_.unconfirmed_patience;
+    state.unconfirmed_until = now + options_.unconfirmed_timeout;
     state.records.clear();
     for (const auto& [leaf, record] : state.unconfirmed) {
       stale_.insert(leaf);
     }
   }
   for (const wire::LeafRecord& record : feed.records) {
-    NoteCold(now, record);
+    RecordCold(now, record);
     wire::LeafRecord& kept = state.records[record.leaf] = record;
     kept.cold_milliseconds = 0;
     state.unconfirmed.erase(record.leaf);
@@ -64,10 +64,10 @@
   }
   merged_ = now;
   bool changed = false;
-  // Judging one may call for judging others at its address.
+  // Evaluating one leaf may make others at its address stale.
   while (!stale_.empty()) {
     const std::string leaf = std::move(stale_.extract(stale_.begin()).value());
-    changed |= Judge(leaf);
+    changed |= Reevaluate(leaf);
   }
   if (changed) {
     ++version_;
@@ -75,7 +75,7 @@
   }
 }
 
-void LeafView::NoteCold(Timestamp now, const wire::LeafRecord& record) {
+void LeafView::RecordCold(Timestamp now, const wire::LeafRecord& record) {
   const auto before = leafs_.find(record.leaf);
   if (before != leafs_.end() && before->second.born_ms < record.born_ms) {
     cold_until_.erase(record.leaf);
@@ -86,7 +86,7 @@
   const Timestamp until = now + Milliseconds(static_cast<int64_t>(record.cold_milliseconds));
   Timestamp& known = cold_until_[record.leaf];
   known = std::max(known, until);
-  ++cold_words_;
+  ++cold_reports_;
 }
 
 void LeafView::SetEvacuated(Timestamp now, const std::set<std::string>& zones) {
@@ -106,8 +106,8 @@
     if (zones.contains(record.zone) && !record.draining) {
       newly_leaving_.push_back(leaf);
     }
-    Unlist(record);
-    List(record);
+    RemoveUsable(record);
+    AddUsable(record);
     changes_.push_back({leaf, record.service});
   }
   ++version_;
@@ -125,7 +125,7 @@
     return;
   }
   it->second.draining = true;
-  Unlist(it->second);
+  RemoveUsable(it->second);
   newly_leaving_.push_back(leaf);
   changes_.push_back({leaf, it->second.service});
   ++version_;
@@ -143,7 +143,7 @@
   if (it != sources_.end() && !it->second.lost) {
     it->second.lost = true;
     it->second.lost_at = now;
-    // A control machine that restarts counts anew.
+    // A control machine that restarts begins with version 1 again.
     it->second.version = 0;
   }
 }
@@ -156,7 +156,7 @@
   Changed(now);
 }
 
-void LeafView::OnCommittedAnew(Timestamp now) {
+void LeafView::OnCommittedReset(Timestamp now) {
   for (const auto& [leaf, record] : leafs_) {
     stale_.insert(leaf);
   }
@@ -192,7 +192,7 @@
   }
   std::erase_if(sources_, [&](const auto& item) {
     const Source& source = item.second;
-    if (!source.lost || now - source.lost_at < options_.lost_source_patience) {
+    if (!source.lost || now - source.lost_at < options_.lost_source_timeout) {
       return false;
     }
     for (const auto* records : {&source.records, &source.unconfirmed}) {
@@ -221,7 +221,7 @@
   return it == by_service_.end() ? *none : it->second;
 }
 
-uint64_t LeafView::LastLife(const std::string& leaf) const {
+uint64_t LeafView::LatestIncarnation(const std::string& leaf) const {
   const auto committed = committed_->reported().find(leaf);
   uint64_t last = committed == committed_->reported().end() ? 0 : committed->second.born_ms;
   for (const auto& [name, source] : sources_) {
@@ -233,30 +233,32 @@
   return last;
 }
 
-std::optional<wire::LeafRecord> LeafView::WordOn(const std::string& leaf) const {
-  std::optional<wire::LeafRecord> word;
-  const uint64_t life = LastLife(leaf);
+std::optional<wire::LeafRecord> LeafView::CombinedRecord(const std::string& leaf) const {
+  std::optional<wire::LeafRecord> combined;
+  const uint64_t incarnation = LatestIncarnation(leaf);
   const auto committed = committed_->reported().find(leaf);
-  if (committed != committed_->reported().end() && committed->second.born_ms == life) {
-    const config::ReportedLeaf& said = committed->second;
-    word = {leaf, said.service, said.address, said.zone, said.slots, /*draining=*/false, 0, life};
+  if (committed != committed_->reported().end() && committed->second.born_ms == incarnation) {
+    const config::ReportedLeaf& reported = committed->second;
+    combined = {
+        leaf, reported.service, reported.address, reported.zone, reported.slots, /*draining=*/false,
+        0,    incarnation};
   }
   for (const auto& [name, source] : sources_) {
     for (const auto* records : {&source.records, &source.unconfirmed}) {
       const auto it = records->find(leaf);
-      if (it == records->end() || it->second.born_ms != life) {
+      if (it == records->end() || it->second.born_ms != incarnation) {
         continue;
       }
-      const bool draining = it->second.draining || (word.has_value() && word->draining);
-      word = word.has_value() ? *word : it->second;
-      // The most pessimistic word wins: draining is never taken back in one life.
-      word->draining = draining;
+      const bool draining = it->second.draining || (combined.has_value() && combined->draining);
+      combined = combined.has_value() ? *combined : it->second;
+      // The most pessimistic report wins: draining is never revoked within one incarnation.
+      combined->draining = draining;
     }
   }
-  if (word.has_value() && committed_->IsRetired(leaf, life)) {
-    word->draining = true;
+  if (combined.has_value() && committed_->IsRetired(leaf, incarnation)) {
+    combined->draining = true;
   }
-  return word;
+  return combined;
 }
 
 bool LeafView::IsReported(const std::string& leaf) const {
@@ -265,31 +267,32 @@
   });
 }
 
-bool LeafView::Judge(const std::string& leaf) {
-  std::optional<wire::LeafRecord> word = WordOn(leaf);
-  if (word.has_value() && IsReported(leaf)) {
-    HoldAddress(leaf, word->address);
-    return Adopt(leaf, word);
+bool LeafView::Reevaluate(const std::string& leaf) {
+  std::optional<wire::LeafRecord> combined = CombinedRecord(leaf);
+  if (combined.has_value() && IsReported(leaf)) {
+    ClaimAddress(leaf, combined->address);
+    return Adopt(leaf, combined);
   }
   ReleaseAddress(leaf);
-  if (word.has_value()) {
-    only_committed_at_[word->address].insert(leaf);
-    // Another one reports from its address: it has ended, and the word of that is under way.
-    if (holders_.contains(word->address)) {
-      word.reset();
+  if (combined.has_value()) {
+    only_committed_at_[combined->address].insert(leaf);
+    // Another leaf reports from this address, so this one has stopped and its removal is not
+    // committed yet.
+    if (address_owners_.contains(combined->address)) {
+      combined.reset();
     }
   }
-  return Adopt(leaf, word);
+  return Adopt(leaf, combined);
 }
 
-void LeafView::HoldAddress(const std::string& leaf, const std::string& address) {
-  const auto held = holders_.find(address);
-  if (held != holders_.end() && held->second.contains(leaf)) {
+void LeafView::ClaimAddress(const std::string& leaf, const std::string& address) {
+  const auto held = address_owners_.find(address);
+  if (held != address_owners_.end() && held->second.contains(leaf)) {
     return;
   }
   ReleaseAddress(leaf);
-  holders_[address].insert(leaf);
-  TouchCommittedAt(address);
+  address_owners_[address].insert(leaf);
+  ReevaluateCommittedAt(address);
 }
 
 void LeafView::ReleaseAddress(const std::string& leaf) {
@@ -298,17 +301,17 @@
     return;
   }
   const std::string& address = known->second.address;
-  const auto held = holders_.find(address);
-  if (held == holders_.end() || held->second.erase(leaf) == 0) {
+  const auto held = address_owners_.find(address);
+  if (held == address_owners_.end() || held->second.erase(leaf) == 0) {
     return;
   }
   if (held->second.empty()) {
-    holders_.erase(held);
-    TouchCommittedAt(address);
+    address_owners_.erase(held);
+    ReevaluateCommittedAt(address);
   }
 }
 
-void LeafView::TouchCommittedAt(const std::string& address) {
+void LeafView::ReevaluateCommittedAt(const std::string& address) {
   const auto committed = only_committed_at_.find(address);
   if (committed != only_committed_at_.end()) {
     stale_.merge(committed->second);
@@ -321,26 +324,26 @@
   if (known == leafs_.end() && !record.has_value()) {
     return false;
   }
-  // Known leafs report anew after control has restarted: there is nothing to do for users of this.
+  // Leafs report again after control has restarted; an unchanged record needs no action.
   if (known != leafs_.end() && record == known->second) {
     return false;
   }
   if (known != leafs_.end()) {
-    Unlist(known->second);
+    RemoveUsable(known->second);
     changes_.push_back({leaf, known->second.service});
   }
   if (!record.has_value()) {
     leafs_.erase(known);
     return true;
   }
-  const bool new_life = known != leafs_.end() && known->second.born_ms != record->born_ms;
+  const bool restarted = known != leafs_.end() && known->second.born_ms != record->born_ms;
   leafs_[leaf] = *record;
-  List(*record);
-  changes_.push_back({leaf, record->service, new_life});
+  AddUsable(*record);
+  changes_.push_back({leaf, record->service, restarted});
   return true;
 }
 
-void LeafView::List(const wire::LeafRecord& record) {
+void LeafView::AddUsable(const wire::LeafRecord& record) {
   if (IsClosed(record)) {
     return;
   }
@@ -349,7 +352,7 @@
   ++usable_count_;
 }
 
-void LeafView::Unlist(const wire::LeafRecord& record) {
+void LeafView::RemoveUsable(const wire::LeafRecord& record) {
   const auto listed = by_service_.find(record.service);
   if (listed == by_service_.end()) {
     return;
--- a/src/gateway/merger_placement.cc
+++ b/src/gateway/merger_placement.cc
@@ -14,17 +14,19 @@
 
 double Microseconds(Duration duration) { return static_cast<double>(duration.count()); }
 
-/// The first of `ranked` that is not chosen yet and has room; else the first that is not chosen.
+/// Returns the first gateway of `ranked` that is not chosen yet and has capacity; if there is none,
+/// the first that is not chosen yet.
 std::optional<std::string> ChooseOwner(const std::vector<std::string>& ranked,
                                        const std::vector<std::string>& chosen,
-                                       const std::map<std::string, size_t>& owned, size_t most) {
+                                       const std::map<std::string, size_t>& owned,
+                                       size_t max_groups) {
   std::optional<std::string> full;
   for (const std::string& gateway : ranked) {
     if (std::find(chosen.begin(), chosen.end(), gateway) != chosen.end()) {
       continue;
     }
     const auto it = owned.find(gateway);
-    if (it == owned.end() || it->second < most) {
+    if (it == owned.end() || it->second < max_groups) {
       return gateway;
     }
     full = full.value_or(gateway);
@@ -38,7 +40,8 @@
   const auto count = static_cast<double>(shards);
   const double sub_request = Microseconds(costs.sub_request);
   const double merger = Microseconds(costs.merger);
-  // The root's work grows with the groups, each merger's shrinks: this many make the least of both.
+  // The root's work grows with the number of groups, each merger's work shrinks. This number
+  // minimizes the sum.
   const auto groups =
       static_cast<size_t>(std::max(1.0, std::round(std::sqrt(count * sub_request / merger))));
   const double per_merger = std::ceil(count / static_cast<double>(groups));
@@ -49,10 +52,12 @@
   return shared <= alone * costs.worthwhile ? groups : 1;
 }
 
-Duration TimeForWords(size_t groups, double processor_share, const SharingCosts& costs) {
-  // Asking is one half of what a merger costs, its word the other.
-  const double word = Microseconds(costs.merger) / 2;
-  return Duration(static_cast<int64_t>(static_cast<double>(groups) * word / processor_share));
+Duration TimeForPartialAnswers(size_t groups, double processor_share, const SharingCosts& costs) {
+  // Sending the partial query accounts for half of the cost of a merger, its answer for the other
+  // half.
+  const double per_message = Microseconds(costs.merger) / 2;
+  return Duration(
+      static_cast<int64_t>(static_cast<double>(groups) * per_message / processor_share));
 }
 
 std::vector<query::ShardRange> CutIntoGroups(size_t shards, size_t groups) {
@@ -101,12 +106,12 @@
     ranked.push_back(MergersOf(group, gateways, gateways.size()));
   }
   const size_t places = groups.size() * kOwnersPerZone;
-  const size_t most = (places + gateways.size() - 1) / gateways.size();
+  const size_t max_groups = (places + gateways.size() - 1) / gateways.size();
   std::map<std::string, size_t> owned;
   for (size_t turn = 0; turn < kOwnersPerZone; ++turn) {
     for (size_t i = 0; i < groups.size(); ++i) {
       const std::optional<std::string> owner =
-          ChooseOwner(ranked[i], mergers[i].owners, owned, most);
+          ChooseOwner(ranked[i], mergers[i].owners, owned, max_groups);
       if (owner.has_value()) {
         mergers[i].owners.push_back(*owner);
         ++owned[*owner];
@@ -117,8 +122,8 @@
     for (const std::string& gateway : ranked[i]) {
       const std::vector<std::string>& owners = mergers[i].owners;
       const bool owns = std::find(owners.begin(), owners.end(), gateway) != owners.end();
-      if (!owns && mergers[i].stand_ins.size() < kStandInsPerZone) {
-        mergers[i].stand_ins.push_back(gateway);
+      if (!owns && mergers[i].backups.size() < kBackupsPerZone) {
+        mergers[i].backups.push_back(gateway);
       }
     }
   }
--- a/src/gateway/peer_view.h
+++ b/src/gateway/peer_view.h
@@ -1,4 +1,4 @@
-// The other gateways that serve, by word of one control machine at a time. No clock.
+// The other serving gateways, as reported by one control machine at a time. Has no clock.
 #pragma once
 
 #include <cstdint>
@@ -12,28 +12,30 @@
 
 namespace pumicedyke::gateway {
 
-/// Lives on the event loop's thread.
+/// Confined to the event loop's thread.
 class PeerView {
  public:
-  /// Takes over the word of `source`. A first full list from another source replaces what is known.
-  /// @return false if changes in between were missed: ask with version 0 to get everything.
+  /// Applies an update from `source`. A full list from a different source replaces the current one.
+  /// @return false if updates were missed; the caller must then request the full list with version
+  /// 0.
   bool OnFeed(const std::string& source, const wire::GatewayFeed& feed);
-  /// The control machine cannot be reached: it may count anew. What is known stays.
+  /// Marks the control machine as unreachable. It may restart with version 1, so the next update
+  /// must be a full list; the current list is retained.
   void OnSourceLost(const std::string& source);
 
-  /// Version of the list of `source` that is held here; zero: none.
+  /// Returns the version held of the list of `source`; zero: none.
   uint64_t VersionOf(const std::string& source) const;
-  /// Names of the gateways of a zone, in order.
+  /// Returns the names of the gateways of a zone, sorted.
   const std::vector<std::string>& InZone(const std::string& zone) const;
-  /// @return null if it is not known.
+  /// @return null if the gateway is unknown.
   const wire::GatewayRecord* Find(const std::string& node) const;
-  /// Addresses for a client, best first; empty: no gateway is known.
+  /// Returns the addresses for a client, best first; empty if no gateway is known.
   std::vector<std::string> AddressesFor(const directory::ClientPlace& client,
                                         const RegionMap& regions) const;
-  /// Names of all gateways, in order.
+  /// Returns the names of all gateways, sorted.
   std::vector<std::string> Names() const;
   size_t size() const { return peers_.size(); }
-  /// Counts changes.
+  /// Number of changes so far.
   uint64_t changes() const { return changes_; }
 
  private:
--- a/src/gateway/pool_keeper.cc
+++ b/src/gateway/pool_keeper.cc
@@ -7,10 +7,10 @@
 namespace pumicedyke::gateway {
 
 balance::ConnectionBound PoolKeeper::BoundOf(const std::string& service,
-                                             const PoolSetting& setting) {
+                                             const PoolContext& context) {
   const routing::ServiceSpec* spec =
-      setting.table == nullptr ? nullptr : setting.table->FindService(service);
-  return {spec == nullptr ? 0 : spec->max_connections, setting.gateways};
+      context.table == nullptr ? nullptr : context.table->FindService(service);
+  return {spec == nullptr ? 0 : spec->max_connections, context.gateways};
 }
 
 bool PoolKeeper::IsPreferred(const std::string& service, const std::string& leaf) const {
@@ -19,47 +19,48 @@
 }
 
 void PoolKeeper::Sync(Timestamp now, const LeafView& view, const std::vector<LeafChange>& changes,
-                      const PoolSetting& setting) {
+                      const PoolContext& context) {
   std::set<std::string> services;
   for (const LeafChange& change : changes) {
-    if (change.new_life) {
+    if (change.restarted) {
       pool_->Remove(change.leaf);
     }
-    Take(now, view, change.leaf);
+    UpdateLeaf(now, view, change.leaf);
     services.insert(change.service);
   }
-  const bool revised = setting.document_version() != document_version_;
-  const bool resized = setting.gateways != gateways_ && now - resized_ >= kResizeInterval;
+  const bool revised = context.document_version() != document_version_;
+  const bool resized =
+      context.gateways != gateways_ && now - subsets_resized_at_ >= kResizeInterval;
   if (revised || resized) {
-    services.merge(Resized(view, setting));
-    document_version_ = setting.document_version();
-    gateways_ = setting.gateways;
-    resized_ = now;
+    services.merge(ServicesToResize(view, context));
+    document_version_ = context.document_version();
+    gateways_ = context.gateways;
+    subsets_resized_at_ = now;
   }
   for (const std::string& service : services) {
-    Rank(now, view, service, setting);
+    SelectPreferred(now, view, service, context);
   }
 }
 
-void PoolKeeper::Take(Timestamp now, const LeafView& view, const std::string& leaf) {
+void PoolKeeper::UpdateLeaf(Timestamp now, const LeafView& view, const std::string& leaf) {
   const auto known = view.leafs().find(leaf);
   if (known == view.leafs().end()) {
     pool_->Remove(leaf);
     pool_->SetLeafLeavingOnPlatform(leaf, false);
     return;
   }
-  Place(now, known->second, /*preferred=*/false);
+  ConfigureLeaf(now, known->second, /*preferred=*/false);
   pool_->SetLeafLeavingOnPlatform(leaf, view.IsClosed(known->second));
 }
 
-void PoolKeeper::Place(Timestamp now, const wire::LeafRecord& record, bool preferred) {
+void PoolKeeper::ConfigureLeaf(Timestamp now, const wire::LeafRecord& record, bool preferred) {
   const balance::LeafPlacement placement{record.zone != zone_, preferred};
   pool_->Configure(now, record.leaf, std::max(1U, record.slots), placement);
   ++placements_;
 }
 
-void PoolKeeper::Rank(Timestamp now, const LeafView& view, const std::string& service,
-                      const PoolSetting& setting) {
+void PoolKeeper::SelectPreferred(Timestamp now, const LeafView& view, const std::string& service,
+                                 const PoolContext& context) {
   std::vector<balance::SubsetCandidate> candidates;
   for (const std::string& leaf : view.UsableLeafs(service)) {
     candidates.push_back({leaf, view.leafs().at(leaf).zone != zone_});
@@ -69,18 +70,19 @@
     return;
   }
   std::set<std::string>& preferred = preferred_[service];
-  preferred = balance::PreferredLeafs(node_, candidates, BoundOf(service, setting));
+  preferred = balance::PreferredLeafs(node_, candidates, BoundOf(service, context));
   for (const balance::SubsetCandidate& candidate : candidates) {
-    Place(now, view.leafs().at(candidate.leaf), preferred.contains(candidate.leaf));
+    ConfigureLeaf(now, view.leafs().at(candidate.leaf), preferred.contains(candidate.leaf));
   }
 }
 
-std::set<std::string> PoolKeeper::Resized(const LeafView& view, const PoolSetting& setting) const {
+std::set<std::string> PoolKeeper::ServicesToResize(const LeafView& view,
+                                                   const PoolContext& context) const {
   std::set<std::string> services;
   for (const auto& [service, leafs] : view.usable()) {
     const auto known = preferred_.find(service);
     const size_t size = known == preferred_.end() ? 0 : known->second.size();
-    if (size != balance::SubsetSize(leafs.size(), BoundOf(service, setting))) {
+    if (size != balance::SubsetSize(leafs.size(), BoundOf(service, context))) {
       services.insert(service);
     }
   }
--- a/src/gateway/pool_keeper.h
+++ b/src/gateway/pool_keeper.h
@@ -1,6 +1,6 @@
-// Keeps the pool of leafs that a gateway sends to in step with the leafs that it knows of, and
-// chooses among them those that it works with as a rule. Work grows with what changes: a gateway of
-// a fleet knows thousands of leafs and hears of changes all the time. No clock.
+// Keeps a gateway's leaf pool in sync with its leaf view, and selects the preferred leafs of each
+// service. The work is proportional to what changes, because a gateway of a fleet knows thousands
+// of leafs and constantly receives updates. Has no clock.
 #pragma once
 
 #include <cstdint>
@@ -16,46 +16,47 @@
 
 namespace pumicedyke::gateway {
 
-/// What is known of the services and of those that share them.
-struct PoolSetting {
+/// Routes and number of gateways that the pool depends on.
+struct PoolContext {
   /// Null: none yet.
   const routing::RouteTable* table = nullptr;
-  /// Gateways that share each leaf's connections, 1 or more.
+  /// Number of gateways that share each leaf's connections; at least 1.
   uint32_t gateways = 1;
 
   uint64_t document_version() const { return table == nullptr ? 0 : table->version(); }
 };
 
-/// Lives on the event loop's thread.
+/// Confined to the event loop's thread.
 class PoolKeeper {
  public:
-  /// @param node, zone the gateway's own; @param pool outlives this object.
+  /// @param node, zone of this gateway.
+  /// @param pool must outlive this object.
   PoolKeeper(std::string node, std::string zone, balance::LeafPool* pool)
       : node_(std::move(node)), zone_(std::move(zone)), pool_(pool) {}
 
-  /// Takes over what has changed since the last call.
-  /// @param changes as LeafView::TakeChanges() gave them.
+  /// Applies the changes since the last call.
+  /// @param changes as returned by LeafView::TakeChanges().
   void Sync(Timestamp now, const LeafView& view, const std::vector<LeafChange>& changes,
-            const PoolSetting& setting);
+            const PoolContext& context);
 
-  /// Whether the gateway works with this leaf as a rule.
+  /// Returns whether the leaf is a preferred one of this gateway.
   bool IsPreferred(const std::string& service, const std::string& leaf) const;
-  /// Leafs that were taken over or placed anew so far.
+  /// Number of leafs configured in the pool so far.
   uint64_t placements() const { return placements_; }
 
  private:
-  /// How many gateways there are matters only for how many leafs of a service each prefers. While
-  /// a fleet starts, that number changes with every message.
+  /// Minimum time between two adaptations to the number of gateways. It only affects how many leafs
+  /// of a service each gateway prefers, and changes with every message while a fleet starts.
   static constexpr Duration kResizeInterval = Milliseconds(500);
 
-  void Take(Timestamp now, const LeafView& view, const std::string& leaf);
-  void Place(Timestamp now, const wire::LeafRecord& record, bool preferred);
-  /// Chooses the preferred leafs of a service anew.
-  void Rank(Timestamp now, const LeafView& view, const std::string& service,
-            const PoolSetting& setting);
-  /// Services of which as many leafs as before are not preferred any more.
-  std::set<std::string> Resized(const LeafView& view, const PoolSetting& setting) const;
-  static balance::ConnectionBound BoundOf(const std::string& service, const PoolSetting& setting);
+  void UpdateLeaf(Timestamp now, const LeafView& view, const std::string& leaf);
+  void ConfigureLeaf(Timestamp now, const wire::LeafRecord& record, bool preferred);
+  /// Selects the preferred leafs of a service again.
+  void SelectPreferred(Timestamp now, const LeafView& view, const std::string& service,
+                       const PoolContext& context);
+  /// Returns the services whose number of preferred leafs has to change.
+  std::set<std::string> ServicesToResize(const LeafView& view, const PoolContext& context) const;
+  static balance::ConnectionBound BoundOf(const std::string& service, const PoolContext& context);
 
   std::string node_;
   std::string zone_;
@@ -63,7 +64,7 @@
   std::map<std::string, std::set<std::string>> preferred_;
   uint64_t document_version_ = 0;
   uint32_t gateways_ = 0;
-  Timestamp resized_{};
+  Timestamp subsets_resized_at_{};
   uint64_t placements_ = 0;
 };
 
--- a/src/gateway/question_queue.cc
+++ b/src/gateway/question_queue.cc
@@ -7,33 +7,33 @@
 namespace pumicedyke::gateway {
 namespace {
 
-const wire::PartialQuery& QueryOf(const ArrivedQuestion& question) {
-  return std::get<wire::PartialQuery>(question.envelope.body);
+const wire::PartialQuery& QueryOf(const ArrivedQuestion& query) {
+  return std::get<wire::PartialQuery>(query.envelope.body);
 }
 
 }  // namespace
 
-bool QuestionQueue::Add(ArrivedQuestion* question) {
-  if (!std::holds_alternative<wire::PartialQuery>(question->envelope.body)) {
+bool QuestionQueue::Add(ArrivedQuestion* query) {
+  if (!std::holds_alternative<wire::PartialQuery>(query->envelope.body)) {
     return false;
   }
-  waiting_.push_back(std::move(*question));
+  waiting_.push_back(std::move(*query));
   return true;
 }
 
 bool QuestionQueue::Cancel(uint64_t session, uint64_t id) {
-  return std::erase_if(waiting_, [session, id](const ArrivedQuestion& question) {
-           return question.session == session && QueryOf(question).id == id;
+  return std::erase_if(waiting_, [session, id](const ArrivedQuestion& query) {
+           return query.session == session && QueryOf(query).id == id;
          }) > 0;
 }
 
 void QuestionQueue::CloseSession(uint64_t session) {
   std::erase_if(waiting_,
-                [session](const ArrivedQuestion& question) { return question.session == session; });
+                [session](const ArrivedQuestion& query) { return query.session == session; });
 }
 
 std::optional<ArrivedQuestion> QuestionQueue::Take() {
-  // The first of the least: zero is the most urgent.
+  // min_element returns the first of equals; zero is the most urgent priority.
   const auto first = std::min_element(waiting_.begin(), waiting_.end(),
                                       [](const ArrivedQuestion& a, const ArrivedQuestion& b) {
                                         return QueryOf(a).priority < QueryOf(b).priority;
@@ -41,9 +41,9 @@
   if (first == waiting_.end()) {
     return std::nullopt;
   }
-  ArrivedQuestion question = std::move(*first);
+  ArrivedQuestion query = std::move(*first);
   waiting_.erase(first);
-  return question;
+  return query;
 }
 
 }  // namespace pumicedyke::gateway
--- a/src/gateway/question_queue.h
+++ b/src/gateway/question_queue.h
@@ -1,5 +1,6 @@
-// Questions of other gateways that were read in one turn of the loop: the more urgent are begun
-// first, whatever connection was read first. No socket, clock or thread.
+// Partial queries of other gateways that were read in one iteration of the event loop. The most
+// urgent is started first, independent of the order in which connections were read. No sockets,
+// clock or threads.
 #pragma once
 
 #include <cstdint>
@@ -11,28 +12,28 @@
 
 namespace pumicedyke::gateway {
 
-/// A question over a group of shards, as it came.
+/// A partial query over a group of shards, as received.
 struct ArrivedQuestion {
-  /// The connection that it came by.
+  /// Connection on which it arrived.
   uint64_t session = 0;
   wire::Envelope envelope;
-  /// The earliest time at which it may have arrived.
+  /// Earliest possible time of its arrival.
   Timestamp arrived{};
 };
 
 class QuestionQueue {
  public:
-  /// Takes over a question that may wait for others of its turn. @return false if it is something
-  /// else, which is left as it is.
-  bool Add(ArrivedQuestion* question);
-  /// One that was not taken yet is not wanted any more. @return false if there is none.
+  /// Takes ownership of a partial query.
+  /// @return false if it is another message, which is left unchanged.
+  bool Add(ArrivedQuestion* query);
+  /// Removes a partial query that was not taken yet. @return false if there is none.
   bool Cancel(uint64_t session, uint64_t id);
   void CloseSession(uint64_t session);
-  /// @return the most urgent, among equals the one that was read first; unset: there is none.
+  /// Returns the most urgent partial query, the first read among equals; unset if there is none.
   std::optional<ArrivedQuestion> Take();
 
  private:
-  /// In the order in which they were read.
+  /// In the order of reading.
   std::vector<ArrivedQuestion> waiting_;
 };
 
--- a/src/gateway/record_merge.h
+++ b/src/gateway/record_merge.h
@@ -1,5 +1,5 @@
-// Merges the records of several leafs' answers: fixed-size records without further structure, the
-// greatest of which, compared byte by byte, go back.
+// Merges the records of several leafs' answers. Records have a fixed size and no further structure;
+// those that compare greatest byte by byte are returned.
 #pragma once
 
 #include <cstddef>
@@ -11,9 +11,9 @@
 
 constexpr size_t kRecordBytes = 16;
 
-/// @param parts bodies of the leafs' answers, records in no order; a rest shorter than a record at
-/// the end of a part is no record.
-/// @return the greatest `count` records, greatest first; equal ones all count.
+/// Returns the `count` greatest records, greatest first; duplicates are retained.
+/// @param parts bodies of the leafs' answers with records in any order; a remainder shorter than a
+/// record at the end of a part is ignored.
 std::string MergeGreatest(const std::vector<std::string_view>& parts, size_t count);
 
 }  // namespace pumicedyke::gateway
--- a/test/gateway/gateway_allowance_test.cc
+++ b/test/gateway/gateway_allowance_test.cc
@@ -1,4 +1,4 @@
-// What a gateway does with the allowance of extra sub-requests where it is short.
+// Use of the allowance of extra sub-requests when it is nearly spent.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "gateway/gateway_harness.h"
@@ -16,9 +16,10 @@
   return options;
 }
 
-/// A gateway with three shards and two leafs each. It shares the allowance with one spare.
-struct Frugal {
-  explicit Frugal(double allowance, double ratio = 0) : h(WithAllowance(allowance, ratio)) {
+/// A gateway with three shards and two leafs each. The allowance is divided by two: itself and one
+/// spare gateway.
+struct LowAllowance {
+  explicit LowAllowance(double allowance, double ratio = 0) : h(WithAllowance(allowance, ratio)) {
     std::vector<wire::LeafRecord> leafs;
     for (size_t i = 0; i < 2 * kShards; ++i) {
       leafs.push_back(
@@ -35,18 +36,19 @@
 
 class GatewayAllowanceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GatewayAllowanceTest);
-  CPPUNIT_TEST(RefusedRequestThatNothingPaysForIsRefusedAtOnce);
-  CPPUNIT_TEST(LostRequestThatNothingPaysForFailsAtOnce);
-  CPPUNIT_TEST(GatherAnswersOnceNothingIsOutThatCouldBePaidFor);
-  CPPUNIT_TEST(AllowanceIsWaitedForWhileOtherShardsRun);
-  CPPUNIT_TEST(RequestThatLosesItsLeafsLeavesAllowanceToOthers);
-  CPPUNIT_TEST(RequestThatHasSucceededSinceSpendsAsOthers);
+  CPPUNIT_TEST(RefusedRequestWithoutBudgetIsRefusedAtOnce);
+  CPPUNIT_TEST(LostRequestWithoutBudgetFailsAtOnce);
+  CPPUNIT_TEST(GatherAnswersOnceNoRetryCanBePaidFor);
+  CPPUNIT_TEST(RetryWaitsForBudgetWhileOtherShardsRun);
+  CPPUNIT_TEST(RequestThatLosesLeafsLeavesAllowanceToOthers);
+  CPPUNIT_TEST(RequestThatSucceededSinceMaySpendAllowance);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  /// It was held until its deadline: for a second, with a leaf free that would have taken it.
-  void RefusedRequestThatNothingPaysForIsRefusedAtOnce() {
-    Frugal g(/*allowance=*/0);
+  /// Guards against holding such a request until its deadline of one second although a free leaf
+  /// would have accepted it.
+  void RefusedRequestWithoutBudgetIsRefusedAtOnce() {
+    LowAllowance g(/*allowance=*/0);
     g.h.Ask("/one/x");
     g.h.Reply(g.h.sends.at(0), query::LeafStatus::kDraining);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, g.h.answers.size());
@@ -55,22 +57,22 @@
     CPPUNIT_ASSERT(answer.run == query::RunState::kNotRun);
     CPPUNIT_ASSERT(answer.retry_after > Duration(0));
     CPPUNIT_ASSERT_EQUAL(size_t{1}, g.h.sends.size());
-    // The client's next try is a first one, and goes to the leaf that is left.
+    // The client's retry is a first sub-request, and goes to the other leaf.
     g.h.Ask("/one/x");
     CPPUNIT_ASSERT_EQUAL(size_t{2}, g.h.sends.size());
     CPPUNIT_ASSERT(g.h.sends[0].leaf != g.h.sends[1].leaf);
   }
 
-  void LostRequestThatNothingPaysForFailsAtOnce() {
-    Frugal g(/*allowance=*/0);
+  void LostRequestWithoutBudgetFailsAtOnce() {
+    LowAllowance g(/*allowance=*/0);
     g.h.Ask("/one/x");
     g.h.Lose(g.h.sends.at(0));
     CPPUNIT_ASSERT_EQUAL(size_t{1}, g.h.answers.size());
     CPPUNIT_ASSERT(g.h.answers.front().run == query::RunState::kUnknown);
   }
 
-  void GatherAnswersOnceNothingIsOutThatCouldBePaidFor() {
-    Frugal g(/*allowance=*/0);
+  void GatherAnswersOnceNoRetryCanBePaidFor() {
+    LowAllowance g(/*allowance=*/0);
     g.h.Ask("/all/x");
     CPPUNIT_ASSERT_EQUAL(kShards, g.h.sends.size());
     g.h.Reply(g.h.sends[0], query::LeafStatus::kDraining);
@@ -81,13 +83,13 @@
     CPPUNIT_ASSERT(g.h.answers.front().code == ResultCode::kPartial);
   }
 
-  void AllowanceIsWaitedForWhileOtherShardsRun() {
-    Frugal g(/*allowance=*/0, /*ratio=*/0.5);
+  void RetryWaitsForBudgetWhileOtherShardsRun() {
+    LowAllowance g(/*allowance=*/0, /*ratio=*/0.5);
     g.h.Ask("/all/x");
     g.h.Reply(g.h.sends.at(0), query::LeafStatus::kDraining);
     g.h.Pass(Milliseconds(5));
     CPPUNIT_ASSERT_EQUAL(kShards, g.h.sends.size());
-    // Another request earns what pays for it.
+    // Another request adds the budget for the retry.
     g.h.Ask("/all/y");
     CPPUNIT_ASSERT_EQUAL(2 * kShards, g.h.sends.size());
     g.h.Pass(Milliseconds(5));
@@ -95,10 +97,10 @@
     CPPUNIT_ASSERT(g.h.answers.empty());
   }
 
-  /// What nobody else has left to be sent again with is spent on a request that may be what ends
-  /// the leafs.
-  void RequestThatLosesItsLeafsLeavesAllowanceToOthers() {
-    Frugal g(/*allowance=*/4);
+  /// Guards against spending the allowance that other requests need for retries on a request that
+  /// may crash its leafs.
+  void RequestThatLosesLeafsLeavesAllowanceToOthers() {
+    LowAllowance g(/*allowance=*/4);
     for (int attempt = 0; attempt < 3; ++attempt) {
       const size_t before = g.h.sends.size();
       g.h.Ask("/one/fatal");
@@ -114,8 +116,8 @@
     CPPUNIT_ASSERT_EQUAL(sent + 2, g.h.sends.size());
   }
 
-  void RequestThatHasSucceededSinceSpendsAsOthers() {
-    Frugal g(/*allowance=*/4);
+  void RequestThatSucceededSinceMaySpendAllowance() {
+    LowAllowance g(/*allowance=*/4);
     g.h.Ask("/one/x");
     g.h.Lose(g.h.sends.at(0));
     g.h.Reply(g.h.sends.at(1), query::LeafStatus::kOk, "sixteen bytes...");
--- a/test/gateway/gateway_harness.h
+++ b/test/gateway/gateway_harness.h
@@ -1,4 +1,4 @@
-// A gateway with the words of one control machine, for tests without sockets.
+// A gateway with one simulated control machine, for tests without sockets.
 #pragma once
 
 #include <algorithm>
@@ -20,20 +20,20 @@
 inline constexpr char kControl[] = "10.0.0.1:7100";
 inline constexpr char kHost[] = "desk.example";
 
-/// Documents are JSON lists of [name, prefix, repeatable, shards...] here; one shard means a plain
+/// Documents are JSON lists of [name, prefix, repeatable, shards...]; a single shard makes a plain
 /// route.
 class TestReader : public routing::DocumentReader {
  public:
-  /// What cold leafs bear; zero: as much as always.
+  /// Request rate that cold leafs can take; zero: no limit.
   double cold_requests_per_second = 0;
-  /// Regions that requests must not leave.
-  std::set<std::string> homes;
-  /// Set: the documents have tenants.
+  /// Allowed regions of every route.
+  std::set<std::string> allowed_regions;
+  /// If set, the documents have tenants.
   std::optional<std::vector<tenants::Tenant>> tenants;
   /// Routes that need no key.
   std::set<std::string> open;
 
-  /// A document that only a later program understands.
+  /// Text of a document that this program cannot parse.
   static constexpr char kUnreadable[] = "unreadable";
 
   absl::StatusOr<routing::RouteSet> Read(std::string_view text) const override {
@@ -52,7 +52,7 @@
       route.max_attempts = 2;
       route.min_coverage = 0.5;
       route.top_records = 2;
-      route.homes = homes;
+      route.homes = allowed_regions;
       route.open = open.contains(route.name);
       for (size_t i = 3; i < item.size(); ++i) {
         const auto service = item[i].get<std::string>();
@@ -71,7 +71,7 @@
   }
 };
 
-/// A gateway with the words of one control machine.
+/// A gateway with one simulated control machine.
 class GatewayHarness {
  public:
   explicit GatewayHarness(const GatewayOptions& options = Options())
@@ -111,7 +111,7 @@
     change.request = IdentityOf({target});
     Apply(change);
   }
-  /// A control machine warns of a request.
+  /// Sends a control machine's warning about a suspect request.
   void Warn(const std::string& target) {
     server.OnControlMessage(now, kControl,
                             {"test", 0, wire::SuspectNotice{{IdentityOf({target})}}});
@@ -136,13 +136,13 @@
     return {id, service, id + ":80", "north", 2, false, 0};
   }
 
-  /// A control machine answers a greeting: there is nothing new.
-  void Vouch() {
+  /// Sends a control machine's answer to a hello, without changes.
+  void AnswerHello() {
     wire::ConfigFeed feed;
     feed.version = state_.version().value;
     server.OnControlMessage(now, kControl, {"test", feed.version, feed});
   }
-  /// A control machine answers the greeting that was sent at `asked`; its own proof is this old.
+  /// Sends a control machine's answer to the hello sent at `asked`, with the age of its own proof.
   void Prove(Timestamp asked, Duration proof_age = {}) {
     wire::ConfigFeed feed;
     feed.version = state_.version().value;
@@ -151,11 +151,11 @@
     server.OnControlMessage(now, kControl, {"test", feed.version, feed});
     Take();
   }
-  /// The same, to a greeting that was sent now.
+  /// As above, for a hello sent now.
   void Prove() { Prove(now); }
-  /// Whether the control machine takes reports of lost runs.
-  bool takes_reports = true;
-  /// Other gateways, by the word of the control machine.
+  /// Whether the control machine acknowledges reports of lost runs.
+  bool acknowledges_reports = true;
+  /// Sends the control machine's list of gateways.
   void Peers(std::vector<wire::GatewayRecord> peers) {
     wire::GatewayFeed feed;
     feed.version = ++peers_version_;
@@ -163,22 +163,25 @@
     server.OnControlMessage(now, kControl, {"test", 0, feed});
   }
 
-  /// @param unread how long the request may have waited to be read. @return the request's id.
-  RequestId Ask(const std::string& target, Duration deadline = Seconds(1), Duration unread = {}) {
+  /// Sends a request.
+  /// @param unread how long the request may have waited to be read.
+  /// @return the request's id.
+  RequestId Ask(const std::string& target, Duration deadline = Seconds(1),
+                Duration unread_time = {}) {
     auto request = std::make_shared<PayloadRequest>();
-    request->request_id = "r" + std::to_string(++asked_);
+    request->request_id = "r" + std::to_string(++request_count_);
     request->method = "GET";
     request->target = target;
     request->host = kHost;
     request->deadline = deadline;
     request->identity = IdentityOf({target});
-    return Ask(std::move(request), unread);
+    return Ask(std::move(request), unread_time);
   }
-  /// The client sends this key, and claims to be another.
+  /// Sends a request with this key and a false claim of identity.
   RequestId AskWithKey(const std::string& target, const std::string& key,
                        Duration deadline = Seconds(1)) {
     auto request = std::make_shared<PayloadRequest>();
-    request->request_id = "r" + std::to_string(++asked_);
+    request->request_id = "r" + std::to_string(++request_count_);
     request->method = "GET";
     request->target = target;
     request->host = kHost;
@@ -207,7 +210,7 @@
     server.OnLeafReply(now, reply);
     Take();
   }
-  /// The leaf's connection ends without an answer.
+  /// Ends the leaf's connection without an answer.
   void Lose(const LeafSend& send) {
     query::LeafReply reply;
     reply.id = send.id;
@@ -255,18 +258,20 @@
     }
   }
 
-  /// What cold leafs of the documents that are put from now on bear.
+  /// Sets the request rate of cold leafs in documents put from now on.
   void SetColdRequestsPerSecond(double rate) { reader_.cold_requests_per_second = rate; }
 
-  /// Tenants of the documents that are put from now on; unset: they have none.
+  /// Sets the tenants of documents put from now on; unset: none.
   void SetTenants(std::optional<std::vector<tenants::Tenant>> tenants) {
     reader_.tenants = std::move(tenants);
   }
-  /// Routes of these documents that need no key.
+  /// Sets the routes of these documents that need no key.
   void SetOpen(std::set<std::string> routes) { reader_.open = std::move(routes); }
 
-  /// Regions that requests of the documents that are put from now on must not leave.
-  void SetHomes(std::set<std::string> homes) { reader_.homes = std::move(homes); }
+  /// Sets the allowed regions in documents put from now on.
+  void SetAllowedRegions(std::set<std::string> regions) {
+    reader_.allowed_regions = std::move(regions);
+  }
 
   std::vector<ControlLinkChange> links;
   std::vector<std::string> closed_leafs;
@@ -274,13 +279,13 @@
 
  private:
   void TakeReport(const wire::RunReport& report) {
-    if (takes_reports) {
+    if (acknowledges_reports) {
       server.OnControlMessage(now, kControl, {"test", 0, wire::RunReportTaken{report.number}});
     }
   }
-  RequestId Ask(std::shared_ptr<PayloadRequest> request, Duration unread) {
-    const RequestId id{asked_};
-    server.OnRequest(now, id, std::move(request), now - unread);
+  RequestId Ask(std::shared_ptr<PayloadRequest> request, Duration unread_time) {
+    const RequestId id{request_count_};
+    server.OnRequest(now, id, std::move(request), now - unread_time);
     Take();
     return id;
   }
@@ -298,7 +303,7 @@
   config::ConfigState state_;
   uint64_t leaf_version_ = 0;
   uint64_t peers_version_ = 0;
-  uint64_t asked_ = 0;
+  uint64_t request_count_ = 0;
 
  public:
   GatewayServer server;
--- a/test/gateway/gateway_lease_test.cc
+++ b/test/gateway/gateway_lease_test.cc
@@ -1,4 +1,4 @@
-// How long a gateway serves requests with keys without word of the control machines.
+// How long a gateway serves requests with keys without contact to the control machines.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "gateway/gateway_harness.h"
@@ -10,8 +10,8 @@
 constexpr Duration kBound = Milliseconds(5000);
 constexpr Duration kLease = Milliseconds(4000);
 
-struct Leased {
-  Leased() : h(Options()) {
+struct LeasedGateway {
+  LeasedGateway() : h(Options()) {
     tenants::Tenant tenant;
     tenant.name = "acme";
     tenant.api_keys = {kKey};
@@ -25,8 +25,8 @@
     options.entry.key_lease.revocation_bound = kBound;
     return options;
   }
-  /// @return kOk if a leaf was asked.
-  ResultCode AskedNow(const std::string& target = "/one/x") {
+  /// @return kOk if the request was sent to a leaf.
+  ResultCode ResultOfRequest(const std::string& target = "/one/x") {
     const size_t sends = h.sends.size();
     h.AskWithKey(target, kKey);
     return h.sends.size() > sends ? ResultCode::kOk : h.answers.back().code;
@@ -39,101 +39,101 @@
 class GatewayLeaseTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GatewayLeaseTest);
   CPPUNIT_TEST(GatewayThatStartsServesNoKeysBeforeTheFirstProof);
-  CPPUNIT_TEST(GatewayOutOfTouchServesUntilItsLeaseIsOver);
-  CPPUNIT_TEST(FrozenGatewayRefusesTheFirstRequestAfterwards);
-  CPPUNIT_TEST(AnswerThatWasLongUnderWayProvesOnlyWhenItWasAskedFor);
-  CPPUNIT_TEST(AgeOfTheSendersProofIsTakenOff);
-  CPPUNIT_TEST(OpenRoutesGoOn);
-  CPPUNIT_TEST(KeyThatWasTakenAwayIsUnknownAtOnce);
-  CPPUNIT_TEST(DocumentThatCannotBeReadEndsTheProof);
-  CPPUNIT_TEST(RefusalSaysWhenToComeBack);
+  CPPUNIT_TEST(DisconnectedGatewayServesUntilItsLeaseExpires);
+  CPPUNIT_TEST(PausedGatewayRefusesTheFirstRequestAfterResuming);
+  CPPUNIT_TEST(DelayedAnswerProvesOnlyTheTimeOfItsHello);
+  CPPUNIT_TEST(AgeOfTheSendersProofIsDeducted);
+  CPPUNIT_TEST(OpenRoutesNeedNoLease);
+  CPPUNIT_TEST(RemovedKeyIsUnknownAtOnce);
+  CPPUNIT_TEST(UnreadableDocumentEndsTheProof);
+  CPPUNIT_TEST(RefusalHasARetryHint);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  /// As after a loss of all power.
+  /// The state after a power failure of all machines.
   void GatewayThatStartsServesNoKeysBeforeTheFirstProof() {
-    Leased g;
+    LeasedGateway g;
     CPPUNIT_ASSERT(g.h.server.ready());
-    CPPUNIT_ASSERT(g.AskedNow() == ResultCode::kKeysUnproven);
+    CPPUNIT_ASSERT(g.ResultOfRequest() == ResultCode::kKeysUnproven);
     CPPUNIT_ASSERT(!g.h.server.KeysProven(g.h.now));
     g.h.Prove(g.h.now);
-    CPPUNIT_ASSERT(g.AskedNow() == ResultCode::kOk);
+    CPPUNIT_ASSERT(g.ResultOfRequest() == ResultCode::kOk);
     CPPUNIT_ASSERT(g.h.server.KeysProven(g.h.now));
   }
 
-  void GatewayOutOfTouchServesUntilItsLeaseIsOver() {
-    Leased g;
+  void DisconnectedGatewayServesUntilItsLeaseExpires() {
+    LeasedGateway g;
     const Timestamp proven = g.h.now;
     g.h.Prove(proven);
     g.h.Pass(kLease - Milliseconds(1));
-    CPPUNIT_ASSERT(g.AskedNow() == ResultCode::kOk);
+    CPPUNIT_ASSERT(g.ResultOfRequest() == ResultCode::kOk);
     g.h.Pass(Milliseconds(1));
-    CPPUNIT_ASSERT(g.AskedNow() == ResultCode::kKeysUnproven);
+    CPPUNIT_ASSERT(g.ResultOfRequest() == ResultCode::kKeysUnproven);
     g.h.Prove(g.h.now);
-    CPPUNIT_ASSERT(g.AskedNow() == ResultCode::kOk);
+    CPPUNIT_ASSERT(g.ResultOfRequest() == ResultCode::kOk);
   }
 
-  /// Nothing ran meanwhile: the request is the first thing that it sees.
-  void FrozenGatewayRefusesTheFirstRequestAfterwards() {
-    Leased g;
+  /// The process was paused, and the request is the first event that it sees.
+  void PausedGatewayRefusesTheFirstRequestAfterResuming() {
+    LeasedGateway g;
     g.h.Prove(g.h.now);
     g.h.now += kLease;
-    CPPUNIT_ASSERT(g.AskedNow() == ResultCode::kKeysUnproven);
+    CPPUNIT_ASSERT(g.ResultOfRequest() == ResultCode::kKeysUnproven);
   }
 
-  void AnswerThatWasLongUnderWayProvesOnlyWhenItWasAskedFor() {
-    Leased g;
+  void DelayedAnswerProvesOnlyTheTimeOfItsHello() {
+    LeasedGateway g;
     const Timestamp asked = g.h.now;
     g.h.Pass(kLease);
     g.h.Prove(asked);
-    CPPUNIT_ASSERT(g.AskedNow() == ResultCode::kKeysUnproven);
+    CPPUNIT_ASSERT(g.ResultOfRequest() == ResultCode::kKeysUnproven);
   }
 
-  void AgeOfTheSendersProofIsTakenOff() {
-    Leased g;
+  void AgeOfTheSendersProofIsDeducted() {
+    LeasedGateway g;
     g.h.Prove(g.h.now, Milliseconds(600));
     g.h.Pass(kLease - Milliseconds(600));
-    CPPUNIT_ASSERT(g.AskedNow() == ResultCode::kKeysUnproven);
+    CPPUNIT_ASSERT(g.ResultOfRequest() == ResultCode::kKeysUnproven);
   }
 
-  void OpenRoutesGoOn() {
-    Leased g;
-    CPPUNIT_ASSERT(g.AskedNow("/open/x") == ResultCode::kOk);
+  void OpenRoutesNeedNoLease() {
+    LeasedGateway g;
+    CPPUNIT_ASSERT(g.ResultOfRequest("/open/x") == ResultCode::kOk);
     g.h.Prove(g.h.now);
     g.h.Pass(Seconds(60));
-    CPPUNIT_ASSERT(g.AskedNow("/open/x") == ResultCode::kOk);
+    CPPUNIT_ASSERT(g.ResultOfRequest("/open/x") == ResultCode::kOk);
   }
 
-  void KeyThatWasTakenAwayIsUnknownAtOnce() {
-    Leased g;
+  void RemovedKeyIsUnknownAtOnce() {
+    LeasedGateway g;
     g.h.Prove(g.h.now);
     tenants::Tenant tenant;
     tenant.name = "acme";
     g.h.SetTenants(std::vector{tenant});
     g.h.Put(2, Json::array({{"one", "/one/", true, "s0"}}).dump());
-    CPPUNIT_ASSERT(g.AskedNow() == ResultCode::kUnknownKey);
-    // The same document once more.
+    CPPUNIT_ASSERT(g.ResultOfRequest() == ResultCode::kUnknownKey);
+    // Put the same document again.
     g.h.Put(2, Json::array({{"one", "/one/", true, "s0"}}).dump());
-    CPPUNIT_ASSERT(g.AskedNow() == ResultCode::kUnknownKey);
+    CPPUNIT_ASSERT(g.ResultOfRequest() == ResultCode::kUnknownKey);
   }
 
-  /// It may have taken the key away.
-  void DocumentThatCannotBeReadEndsTheProof() {
-    Leased g;
+  /// The unreadable document may have removed the key.
+  void UnreadableDocumentEndsTheProof() {
+    LeasedGateway g;
     g.h.Prove(g.h.now);
     g.h.Put(2, TestReader::kUnreadable);
     g.h.Prove(g.h.now);
-    CPPUNIT_ASSERT(g.AskedNow() == ResultCode::kKeysUnproven);
-    CPPUNIT_ASSERT(g.AskedNow("/open/x") == ResultCode::kOk);
+    CPPUNIT_ASSERT(g.ResultOfRequest() == ResultCode::kKeysUnproven);
+    CPPUNIT_ASSERT(g.ResultOfRequest("/open/x") == ResultCode::kOk);
     g.h.Put(3, Json::array({{"one", "/one/", true, "s0"}}).dump());
-    CPPUNIT_ASSERT(g.AskedNow() == ResultCode::kOk);
+    CPPUNIT_ASSERT(g.ResultOfRequest() == ResultCode::kOk);
   }
 
-  void RefusalSaysWhenToComeBack() {
-    Leased g;
+  void RefusalHasARetryHint() {
+    LeasedGateway g;
     g.h.Prove(g.h.now);
     g.h.Pass(kLease + Seconds(1));
-    CPPUNIT_ASSERT(g.AskedNow() == ResultCode::kKeysUnproven);
+    CPPUNIT_ASSERT(g.ResultOfRequest() == ResultCode::kKeysUnproven);
     CPPUNIT_ASSERT(g.h.answers.back().retry_after == Seconds(1));
   }
 };
--- a/test/gateway/gateway_limits_test.cc
+++ b/test/gateway/gateway_limits_test.cc
@@ -1,4 +1,4 @@
-// Limits of tenants through the gateways themselves: three of them, wired by hand.
+// Limits of tenants enforced by three gateways that are connected by the test.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <memory>
@@ -11,14 +11,14 @@
 
 constexpr size_t kGateways = 3;
 constexpr char kKey[] = "hush";
-constexpr Duration kWarm = Seconds(14);
+constexpr Duration kWarmUp = Seconds(14);
 
 std::string NodeAt(size_t i) { return "g" + std::to_string(i + 1); }
 std::string AddressAt(size_t i) { return NodeAt(i) + ":7500"; }
 
-/// Three gateways that know each other, with one tenant of one request a second.
-struct Trio {
-  explicit Trio(Duration window = Seconds(5)) {
+/// Three gateways that know each other, with one tenant limited to one request per second.
+struct ThreeGateways {
+  explicit ThreeGateways(Duration window = Seconds(5)) {
     tenants::Tenant tenant;
     tenant.name = "acme";
     tenant.api_keys = {kKey};
@@ -41,11 +41,11 @@
       h.Report({GatewayHarness::Leaf("a", "s0"), GatewayHarness::Leaf("b", "s0")});
       h.Peers(peers);
     }
-    Pass(kWarm);
+    Pass(kWarmUp);
   }
 
-  /// The gateway that keeps the account.
-  static size_t Keeper() {
+  /// Returns the index of the gateway that lends the tenant's budget.
+  static size_t Lender() {
     limits::KeeperPlacement placement;
     placement.SetAccounts({{"acme", 0}});
     std::vector<limits::LimitGateway> gateways;
@@ -57,17 +57,17 @@
     return node == NodeAt(0) ? 0 : node == NodeAt(1) ? 1 : 2;
   }
 
-  /// Passes on what the gateways say to each other, until nobody says anything.
-  void Exchange() {
-    for (bool quiet = false; !quiet;) {
-      quiet = true;
+  /// Delivers messages between the gateways until no more are sent.
+  void DeliverMessages() {
+    for (bool delivered_all = false; !delivered_all;) {
+      delivered_all = true;
       for (size_t from = 0; from < kGateways; ++from) {
         for (const PeerMessage& message : std::exchange(harnesses[from]->peer_messages, {})) {
-          quiet = false;
-          Pass(from, message);
+          delivered_all = false;
+          Deliver(from, message);
         }
         for (const PeerReply& reply : std::exchange(harnesses[from]->peer_replies, {})) {
-          quiet = false;
+          delivered_all = false;
           GatewayHarness& to = *harnesses[reply.session - 1];
           to.server.OnPeerWord(to.now, AddressAt(from), reply.envelope);
           to.Take();
@@ -75,16 +75,16 @@
       }
     }
   }
-  void Pass(size_t from, const PeerMessage& message) {
+  void Deliver(size_t from, const PeerMessage& message) {
     for (size_t to = 0; to < kGateways; ++to) {
-      if (message.address == AddressAt(to) && !lost.contains(to)) {
+      if (message.address == AddressAt(to) && !unreachable.contains(to)) {
         harnesses[to]->server.OnPeerQuestion(harnesses[to]->now, from + 1, message.envelope,
                                              harnesses[to]->now);
         harnesses[to]->Take();
       }
     }
   }
-  /// Time passes; control goes on to prove the configuration.
+  /// Advances the time while control continues to prove the configuration.
   void Pass(Duration length) {
     constexpr Duration kInterval = Milliseconds(10);
     for (Duration passed{}; passed < length; passed += kInterval) {
@@ -95,22 +95,22 @@
         h->server.OnControlMessage(h->now, kControl, {"test", feed.version, feed});
         h->Pass(kInterval);
       }
-      Exchange();
+      DeliverMessages();
       Serve();
     }
   }
-  /// @return how many requests were sent to leafs.
+  /// @return the number of sub-requests sent to leafs.
   size_t Ask(size_t gateway, int count) {
     GatewayHarness& h = *harnesses[gateway];
     const size_t before = h.sends.size();
     for (int i = 0; i < count; ++i) {
-      h.AskWithKey("/one/" + std::to_string(++asked), kKey);
-      Exchange();
+      h.AskWithKey("/one/" + std::to_string(++request_count), kKey);
+      DeliverMessages();
       Serve();
     }
     return h.sends.size() - before;
   }
-  /// Leafs answer what they were sent.
+  /// Answers all sub-requests sent to leafs.
   void Serve() {
     for (size_t i = 0; i < kGateways; ++i) {
       while (served[i] < harnesses[i]->sends.size()) {
@@ -121,10 +121,10 @@
   }
 
   std::vector<std::unique_ptr<GatewayHarness>> harnesses;
-  /// Nothing reaches these.
-  std::set<size_t> lost;
-  int asked = 0;
-  /// How many of the requests to leafs were answered, by gateway.
+  /// Gateways that receive no messages.
+  std::set<size_t> unreachable;
+  int request_count = 0;
+  /// Number of sub-requests answered, by gateway.
   std::vector<size_t> served = std::vector<size_t>(kGateways);
 };
 
@@ -132,37 +132,37 @@
 
 class GatewayLimitsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GatewayLimitsTest);
-  CPPUNIT_TEST(RequestIsSentOnceItsLimitAllowsIt);
-  CPPUNIT_TEST(BeyondTheLimitItIsRefusedAndNoLeafIsAsked);
-  CPPUNIT_TEST(RefusedRequestIsServedWhenItComesBack);
-  CPPUNIT_TEST(LostKeeperRefusesNothingOfAFew);
-  CPPUNIT_TEST(WithoutAWindowNothingIsAsked);
+  CPPUNIT_TEST(RequestIsSentOnceItsLimitIsGranted);
+  CPPUNIT_TEST(RequestBeyondTheLimitReachesNoLeaf);
+  CPPUNIT_TEST(RefusedRequestIsServedOnRetry);
+  CPPUNIT_TEST(FewRequestsAreServedWithoutTheLender);
+  CPPUNIT_TEST(WithoutAWindowNoLimitIsRequested);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void RequestIsSentOnceItsLimitAllowsIt() {
-    Trio trio;
+  void RequestIsSentOnceItsLimitIsGranted() {
+    ThreeGateways fleet;
     for (size_t i = 0; i < kGateways; ++i) {
-      CPPUNIT_ASSERT_EQUAL(size_t{1}, trio.Ask(i, 1));
+      CPPUNIT_ASSERT_EQUAL(size_t{1}, fleet.Ask(i, 1));
     }
-    // One hop, but for the keeper itself.
-    const size_t other = (Trio::Keeper() + 1) % kGateways;
-    trio.harnesses[other]->AskWithKey("/one/x", kKey);
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, trio.harnesses[other]->peer_messages.size());
-    trio.harnesses[Trio::Keeper()]->AskWithKey("/one/y", kKey);
-    CPPUNIT_ASSERT(trio.harnesses[Trio::Keeper()]->peer_messages.empty());
+    // The request takes one message to the lender, and none at the lender itself.
+    const size_t other = (ThreeGateways::Lender() + 1) % kGateways;
+    fleet.harnesses[other]->AskWithKey("/one/x", kKey);
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, fleet.harnesses[other]->peer_messages.size());
+    fleet.harnesses[ThreeGateways::Lender()]->AskWithKey("/one/y", kKey);
+    CPPUNIT_ASSERT(fleet.harnesses[ThreeGateways::Lender()]->peer_messages.empty());
   }
 
-  void BeyondTheLimitItIsRefusedAndNoLeafIsAsked() {
-    Trio trio;
+  void RequestBeyondTheLimitReachesNoLeaf() {
+    ThreeGateways fleet;
     size_t sent = 0;
     for (int i = 0; i < 30; ++i) {
-      sent += trio.Ask(static_cast<size_t>(i) % kGateways, 2);
+      sent += fleet.Ask(static_cast<size_t>(i) % kGateways, 2);
     }
-    // The bound is (1 x 5 + 2) x 1.1 + 20; what is granted at once is a part of it.
+    // The bound is (1 x 5 + 2) x 1.1 + 20; only a part of it is granted at once.
     CPPUNIT_ASSERT(sent >= 2 && sent <= 27);
     size_t refused = 0;
-    for (const auto& h : trio.harnesses) {
+    for (const auto& h : fleet.harnesses) {
       for (const GatewayAnswer& answer : h->answers) {
         if (answer.code == ResultCode::kOk) {
           continue;
@@ -176,33 +176,33 @@
     CPPUNIT_ASSERT_EQUAL(size_t{60}, sent + refused);
   }
 
-  void RefusedRequestIsServedWhenItComesBack() {
-    Trio trio;
-    const size_t gateway = (Trio::Keeper() + 1) % kGateways;
-    while (trio.Ask(gateway, 1) == 1) {
+  void RefusedRequestIsServedOnRetry() {
+    ThreeGateways fleet;
+    const size_t gateway = (ThreeGateways::Lender() + 1) % kGateways;
+    while (fleet.Ask(gateway, 1) == 1) {
     }
-    const Duration retry_after = trio.harnesses[gateway]->answers.back().retry_after;
-    trio.Pass(retry_after + Milliseconds(100));
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, trio.Ask(gateway, 1));
+    const Duration retry_after = fleet.harnesses[gateway]->answers.back().retry_after;
+    fleet.Pass(retry_after + Milliseconds(100));
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, fleet.Ask(gateway, 1));
   }
 
-  void LostKeeperRefusesNothingOfAFew() {
-    Trio trio;
-    trio.lost.insert(Trio::Keeper());
-    const size_t gateway = (Trio::Keeper() + 1) % kGateways;
-    GatewayHarness& h = *trio.harnesses[gateway];
+  void FewRequestsAreServedWithoutTheLender() {
+    ThreeGateways fleet;
+    fleet.unreachable.insert(ThreeGateways::Lender());
+    const size_t gateway = (ThreeGateways::Lender() + 1) % kGateways;
+    GatewayHarness& h = *fleet.harnesses[gateway];
     const size_t before = h.sends.size();
     for (int i = 0; i < 3; ++i) {
-      trio.Ask(gateway, 1);
-      trio.Pass(Milliseconds(100));
+      fleet.Ask(gateway, 1);
+      fleet.Pass(Milliseconds(100));
     }
     CPPUNIT_ASSERT_EQUAL(before + 3, h.sends.size());
   }
 
-  void WithoutAWindowNothingIsAsked() {
-    Trio trio(Duration(0));
-    CPPUNIT_ASSERT_EQUAL(size_t{40}, trio.Ask(0, 40));
-    CPPUNIT_ASSERT(trio.harnesses[0]->peer_messages.empty());
+  void WithoutAWindowNoLimitIsRequested() {
+    ThreeGateways fleet(Duration(0));
+    CPPUNIT_ASSERT_EQUAL(size_t{40}, fleet.Ask(0, 40));
+    CPPUNIT_ASSERT(fleet.harnesses[0]->peer_messages.empty());
   }
 };
 
--- a/test/gateway/gateway_property_test.cc
+++ b/test/gateway/gateway_property_test.cc
@@ -1,6 +1,6 @@
-// Random histories of one gateway: requests, replies of every kind in any order, leafs that come,
-// retire and fall silent, clients that leave, documents that change. What must hold, holds after
-// each.
+// Random histories of one gateway: requests, replies of every kind in any order, leafs that start,
+// retire and stop responding, clients that disconnect, and changes of the document. The invariants
+// are checked after each step.
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
 
@@ -19,26 +19,26 @@
     R"([["one", "/one/", true, "s2"], ["job", "/job/", false, "s0"], ["all", "/all/", true, "s1", "s2"]])";
 constexpr uint32_t kMaxAttempts = 2;
 constexpr Duration kTimeout = Seconds(2);
-/// Told by a leaf that refuses for lack of room.
+/// Load reported by a leaf that refuses for lack of capacity.
 constexpr uint32_t kFullLoad = 50;
-/// Sends are looked at this late at most.
+/// Maximum delay before sends are checked.
 constexpr Duration kSlice = Milliseconds(5);
 
-struct Asked {
+struct ObservedRequest {
   std::string kind;
   Timestamp at;
-  bool left = false;
+  bool client_left = false;
   int answers = 0;
-  /// Sub-requests by shard that ran or may have, and leafs by shard that it was sent to.
+  /// Sub-requests that ran or may have run, and leafs used, by shard.
   std::map<uint64_t, uint32_t> runs;
   std::map<uint64_t, std::set<std::string>> leafs;
   std::map<uint64_t, uint32_t> attempts;
-  /// Services that got it.
+  /// Services that the request was sent to.
   std::set<std::string> sent_to;
   int may_have_run = 0;
 };
 
-/// A random history and what an observer outside sees of it.
+/// A random history and the state that an outside observer derives from it.
 class History {
  public:
   History() {
@@ -56,7 +56,7 @@
         Reply();
         break;
       case 2:
-        ClientLeaves();
+        DisconnectClient();
         break;
       case 3:
         Retire();
@@ -77,8 +77,9 @@
       h_.Pass(kSlice);
       Observe();
     }
-    for (const auto& [id, asked] : asked_) {
-      RC_ASSERT(asked.answers == (asked.left ? 0 : 1) || (asked.left && asked.answers <= 1));
+    for (const auto& [id, observed] : requests_) {
+      RC_ASSERT(observed.answers == (observed.client_left ? 0 : 1) ||
+                (observed.client_left && observed.answers <= 1));
     }
     RC_ASSERT(h_.server.Drained());
   }
@@ -96,42 +97,43 @@
 
   void Ask() {
     const std::string kind = *rc::gen::element<std::string>("one", "job", "all");
-    // What the call sends and answers at once is observed with it.
-    asked_[next_].kind = kind;
-    asked_[next_].at = h_.now;
+    // Registered before the call, because sends and answers may occur during it.
+    requests_[next_].kind = kind;
+    requests_[next_].at = h_.now;
     ++next_;
     h_.Ask("/" + kind + "/x", Seconds(10));
   }
 
   void Reply() {
-    if (open_.empty()) {
+    if (pending_.empty()) {
       return;
     }
-    const size_t pick = static_cast<size_t>(*rc::gen::inRange(0, static_cast<int>(open_.size())));
-    const LeafSend send = open_[pick];
-    open_.erase(open_.begin() + static_cast<long>(pick));
+    const size_t pick =
+        static_cast<size_t>(*rc::gen::inRange(0, static_cast<int>(pending_.size())));
+    const LeafSend send = pending_[pick];
+    pending_.erase(pending_.begin() + static_cast<long>(pick));
     using query::LeafStatus;
     const LeafStatus status =
         *rc::gen::element(LeafStatus::kOk, LeafStatus::kOk, LeafStatus::kOk, LeafStatus::kShed,
                           LeafStatus::kFailed, LeafStatus::kNotSent, LeafStatus::kDraining);
     if (query::ProvesNotRun(status)) {
-      Asked& asked = asked_.at(RequestOf(send));
-      --asked.may_have_run;
-      --asked.runs[send.shard.value];
+      ObservedRequest& observed = requests_.at(RequestOf(send));
+      --observed.may_have_run;
+      --observed.runs[send.shard.value];
     }
     const bool full = status == LeafStatus::kShed && *rc::gen::arbitrary<bool>();
-    Asked& refused = asked_.at(RequestOf(send));
-    const bool passing = status == LeafStatus::kShed && !full && refused.kind == "all";
-    refused.attempts[send.shard.value] -= passing ? 1 : 0;
+    ObservedRequest& refused = requests_.at(RequestOf(send));
+    const bool has_room = status == LeafStatus::kShed && !full && refused.kind == "all";
+    refused.attempts[send.shard.value] -= has_room ? 1 : 0;
     h_.Reply(send, status, status == LeafStatus::kOk ? std::string(kRecordBytes, 'r') : "", 200,
              full ? kFullLoad : 0);
   }
 
-  void ClientLeaves() {
+  void DisconnectClient() {
     const uint64_t id = static_cast<uint64_t>(*rc::gen::inRange(1, static_cast<int>(next_) + 1));
-    const auto it = asked_.find(id);
-    if (it != asked_.end() && it->second.answers == 0) {
-      it->second.left = true;
+    const auto it = requests_.find(id);
+    if (it != requests_.end() && it->second.answers == 0) {
+      it->second.client_left = true;
       h_.server.OnClientGone(h_.now, RequestId{id});
       h_.Take();
     }
@@ -149,29 +151,29 @@
 
   void Observe() {
     for (const LeafSend& send : std::exchange(h_.sends, {})) {
-      Asked& asked = asked_.at(RequestOf(send));
+      ObservedRequest& observed = requests_.at(RequestOf(send));
       RC_ASSERT(!retired_.contains(send.leaf));
-      RC_ASSERT(!asked.left);
-      RC_ASSERT(++asked.runs[send.shard.value] <= kMaxAttempts);
-      // Beyond the cap only what was refused goes on, and to no leaf a second time. Refusals of
-      // gathers by leafs that have room don't count.
-      const bool fresh = asked.leafs[send.shard.value].insert(send.leaf).second;
-      RC_ASSERT(++asked.attempts[send.shard.value] <= kMaxAttempts || fresh);
-      // All histories are shorter than a window of the budget, or nearly so: twice the bound.
+      RC_ASSERT(!observed.client_left);
+      RC_ASSERT(++observed.runs[send.shard.value] <= kMaxAttempts);
+      // Beyond the limit of attempts only refused sub-requests are sent again, and never to the
+      // same leaf. Refusals of gathers by leafs with free capacity don't count.
+      const bool new_leaf = observed.leafs[send.shard.value].insert(send.leaf).second;
+      RC_ASSERT(++observed.attempts[send.shard.value] <= kMaxAttempts || new_leaf);
+      // Histories last at most about one window of the budget, so twice the bound holds.
       const std::string service = send.leaf.substr(0, 2);
-      const bool first = asked.sent_to.insert(service).second;
+      const bool first = observed.sent_to.insert(service).second;
       ++(first ? regular_ : extra_)[service];
       RC_ASSERT(extra_[service] <= 2 * GatewayOptions{}.extra_load.allowance + regular_[service]);
-      RC_ASSERT(h_.now + send.budget <= asked.at + kTimeout + kSlice);
-      ++asked.may_have_run;
-      RC_ASSERT(asked.kind != "job" || asked.may_have_run <= 1);
-      open_.push_back(send);
+      RC_ASSERT(h_.now + send.budget <= observed.at + kTimeout + kSlice);
+      ++observed.may_have_run;
+      RC_ASSERT(observed.kind != "job" || observed.may_have_run <= 1);
+      pending_.push_back(send);
     }
     for (const GatewayAnswer& answer : std::exchange(h_.answers, {})) {
-      Asked& asked = asked_.at(answer.id.value);
-      RC_ASSERT(++asked.answers == 1);
-      RC_ASSERT(!asked.left);
-      RC_ASSERT(answer.run != query::RunState::kNotRun || asked.may_have_run == 0);
+      ObservedRequest& observed = requests_.at(answer.id.value);
+      RC_ASSERT(++observed.answers == 1);
+      RC_ASSERT(!observed.client_left);
+      RC_ASSERT(answer.run != query::RunState::kNotRun || observed.may_have_run == 0);
       if (answer.gathered) {
         const size_t shards = answer.signatures.size() + answer.missing_shards;
         RC_ASSERT(shards == 2U || shards == 3U);
@@ -185,8 +187,8 @@
   GatewayHarness h_;
   uint64_t version_ = 1;
   uint64_t next_ = 1;
-  std::map<uint64_t, Asked> asked_;
-  std::vector<LeafSend> open_;
+  std::map<uint64_t, ObservedRequest> requests_;
+  std::vector<LeafSend> pending_;
   std::set<std::string> retired_;
   std::map<std::string, double> regular_;
   std::map<std::string, double> extra_;
@@ -196,11 +198,11 @@
 
 class GatewayPropertyTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GatewayPropertyTest);
-  CPPUNIT_TEST(WhatMustHoldHolds);
+  CPPUNIT_TEST(InvariantsHold);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void WhatMustHoldHolds() {
+  void InvariantsHold() {
     const bool held = rc::check("what must hold, holds", [] {
       History history;
       const int steps = *rc::gen::inRange(1, 150);
--- a/test/gateway/gateway_quarantine_test.cc
+++ b/test/gateway/gateway_quarantine_test.cc
@@ -1,4 +1,4 @@
-// What a gateway does about requests that end the leafs that run them.
+// A gateway's handling of requests that crash the leafs that run them.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "gateway/gateway_harness.h"
@@ -13,8 +13,8 @@
 constexpr PeerSessionId kSession = 3;
 
 /// A gateway with six shards and two leafs each.
-struct Guarded {
-  Guarded() {
+struct TwelveLeafs {
+  TwelveLeafs() {
     std::vector<wire::LeafRecord> leafs;
     for (size_t i = 0; i < 2 * kShards; ++i) {
       leafs.push_back(
@@ -23,7 +23,7 @@
     h.Put(1, kDocument);
     h.Report(leafs);
   }
-  /// What was told to control of lost runs, all reports together.
+  /// Returns all reports of lost runs sent to control, combined.
   wire::RunReport Reported() const {
     wire::RunReport all;
     for (const ControlMessage& message : h.control) {
@@ -43,24 +43,24 @@
 
 class GatewayQuarantineTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GatewayQuarantineTest);
-  CPPUNIT_TEST(StoppedRequestIsRefusedAtOnceAndOthersAreNot);
+  CPPUNIT_TEST(OnlyTheQuarantinedRequestIsRefused);
   CPPUNIT_TEST(RequestInProgressIsStopped);
-  CPPUNIT_TEST(RequestThatReachedNoLeafIsToldWhenToComeBack);
-  CPPUNIT_TEST(ReadyAnswerIsDeliveredAllTheSame);
-  CPPUNIT_TEST(MergerRefusesWhatIsStopped);
+  CPPUNIT_TEST(WaitingRequestGetsTheRetryHintOfTheQuarantine);
+  CPPUNIT_TEST(AvailableAnswerIsStillDelivered);
+  CPPUNIT_TEST(MergerRefusesQuarantinedRequests);
   CPPUNIT_TEST(LostRunsAreReported);
-  CPPUNIT_TEST(LostRunsAreReportedUntilControlHasTakenThem);
-  CPPUNIT_TEST(RunsThatWereGivenUpAreReported);
+  CPPUNIT_TEST(LostRunsAreReportedUntilAcknowledged);
+  CPPUNIT_TEST(AbandonedRunsAreReported);
   CPPUNIT_TEST(AfterThreeLossesOneLeafIsTriedBeforeOthers);
   CPPUNIT_TEST(TwoLostProbesEndTheRequest);
   CPPUNIT_TEST(OneAnswerEndsProbation);
   CPPUNIT_TEST(SilentProbeIsFollowedByAnother);
-  CPPUNIT_TEST(RequestThatControlWarnsOfIsTriedAtOneLeaf);
+  CPPUNIT_TEST(SuspectOfAWarningIsTriedAtOneLeaf);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void StoppedRequestIsRefusedAtOnceAndOthersAreNot() {
-    Guarded g;
+  void OnlyTheQuarantinedRequestIsRefused() {
+    TwelveLeafs g;
     g.h.Quarantine("/all/fatal");
     g.h.Ask("/all/fatal");
     CPPUNIT_ASSERT(g.h.sends.empty());
@@ -76,13 +76,13 @@
   }
 
   void RequestInProgressIsStopped() {
-    Guarded g;
+    TwelveLeafs g;
     g.h.Ask("/all/fatal");
     g.h.Ask("/all/other");
     g.h.Quarantine("/all/fatal");
     CPPUNIT_ASSERT_EQUAL(size_t{1}, g.h.answers.size());
     CPPUNIT_ASSERT(g.h.answers.front().code == ResultCode::kQuarantined);
-    // It has been sent: nothing is promised, and no leaf works on.
+    // The request was sent already: its outcome is unknown, and the work at all leafs is stopped.
     CPPUNIT_ASSERT(g.h.answers.front().run == query::RunState::kUnknown);
     CPPUNIT_ASSERT_EQUAL(kShards, g.h.cancels.size());
     for (const LeafCancel& cancel : g.h.cancels) {
@@ -92,10 +92,10 @@
     CPPUNIT_ASSERT_EQUAL(size_t{2}, g.h.answers.size());
   }
 
-  /// Not when leafs have room again: when it may be let go.
-  void RequestThatReachedNoLeafIsToldWhenToComeBack() {
-    Guarded g;
-    // Its leafs have all that they may have: it waits.
+  /// The retry hint is the quarantine's, not the time at which leafs have capacity again.
+  void WaitingRequestGetsTheRetryHintOfTheQuarantine() {
+    TwelveLeafs g;
+    // Fill its leafs, so that the request has to wait.
     size_t sent = 0;
     do {
       sent = g.h.sends.size();
@@ -109,8 +109,8 @@
     CPPUNIT_ASSERT(g.h.answers.front().retry_after == GatewayKnobs{}.retry_when_quarantined);
   }
 
-  void ReadyAnswerIsDeliveredAllTheSame() {
-    Guarded g;
+  void AvailableAnswerIsStillDelivered() {
+    TwelveLeafs g;
     g.h.Ask("/all/slow");
     for (size_t i = 0; i < kShards - 1; ++i) {
       g.h.Reply(g.h.sends[i], query::LeafStatus::kOk, "sixteen bytes...");
@@ -119,8 +119,8 @@
     CPPUNIT_ASSERT(g.h.answers.front().code == ResultCode::kPartial);
   }
 
-  void MergerRefusesWhatIsStopped() {
-    Guarded g;
+  void MergerRefusesQuarantinedRequests() {
+    TwelveLeafs g;
     g.h.Quarantine("/all/fatal");
     wire::PartialQuery query;
     query.id = 5;
@@ -134,9 +134,9 @@
     g.h.server.OnPeerQuestion(g.h.now, kSession, {"test", 1, query}, g.h.now);
     g.h.Take();
     CPPUNIT_ASSERT(g.h.sends.empty());
-    const auto& word = std::get<wire::PartialAnswer>(g.h.peer_replies.at(0).envelope.body);
-    CPPUNIT_ASSERT(word.stage == wire::PartialStage::kRefused);
-    // One that stood by when the word came is not begun either.
+    const auto& answer = std::get<wire::PartialAnswer>(g.h.peer_replies.at(0).envelope.body);
+    CPPUNIT_ASSERT(answer.stage == wire::PartialStage::kRefused);
+    // A standby query that arrived before the quarantine is not started either.
     query.identity = IdentityOf({"/all/later"});
     query.stand_by = true;
     g.h.server.OnPeerQuestion(g.h.now, kSession, {"test", 1, query}, g.h.now);
@@ -148,7 +148,7 @@
   }
 
   void LostRunsAreReported() {
-    Guarded g;
+    TwelveLeafs g;
     g.h.Ask("/all/fatal");
     g.h.Lose(g.h.sends[0]);
     g.h.Lose(g.h.sends[1]);
@@ -163,26 +163,26 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, g.Reported().succeeded.size());
   }
 
-  /// All control machines were starting again when it was told first.
-  void LostRunsAreReportedUntilControlHasTakenThem() {
-    Guarded g;
-    g.h.takes_reports = false;
+  /// All control machines were restarting when the report was first sent.
+  void LostRunsAreReportedUntilAcknowledged() {
+    TwelveLeafs g;
+    g.h.acknowledges_reports = false;
     g.h.Ask("/all/fatal");
     g.h.Lose(g.h.sends[0]);
     g.h.Pass(Seconds(1));
-    const size_t told = g.Reported().lost.size();
-    CPPUNIT_ASSERT(told > 1);
-    g.h.takes_reports = true;
+    const size_t reported_before = g.Reported().lost.size();
+    CPPUNIT_ASSERT(reported_before > 1);
+    g.h.acknowledges_reports = true;
     g.h.Pass(Seconds(2));
-    const size_t taken = g.Reported().lost.size();
-    CPPUNIT_ASSERT(taken > told);
+    const size_t reported_after = g.Reported().lost.size();
+    CPPUNIT_ASSERT(reported_after > reported_before);
     g.h.Pass(Seconds(10));
-    CPPUNIT_ASSERT_EQUAL(taken, g.Reported().lost.size());
+    CPPUNIT_ASSERT_EQUAL(reported_after, g.Reported().lost.size());
   }
 
-  /// The leaf ends after the client has got its answer.
-  void RunsThatWereGivenUpAreReported() {
-    Guarded g;
+  /// The leaf crashes after the client has received its answer.
+  void AbandonedRunsAreReported() {
+    TwelveLeafs g;
     g.h.Ask("/one/fatal", Milliseconds(50));
     g.h.Pass(Milliseconds(60));
     CPPUNIT_ASSERT_EQUAL(size_t{1}, g.h.answers.size());
@@ -197,23 +197,24 @@
   }
 
   void AfterThreeLossesOneLeafIsTriedBeforeOthers() {
-    Guarded g;
+    TwelveLeafs g;
     g.h.Ask("/all/fatal", Seconds(2));
     LoseThree(&g);
     const size_t sent = g.h.sends.size();
-    // Others are out still: nothing more goes to the shards that lost theirs.
+    // Other sub-requests are still in progress: nothing more is sent to the shards that lost their
+    // leafs.
     g.h.Pass(Milliseconds(20));
     CPPUNIT_ASSERT_EQUAL(sent, g.h.sends.size());
-    LoseAllThatIsOut(&g);
+    LosePending(&g);
     g.h.Pass(Milliseconds(15));
     CPPUNIT_ASSERT_EQUAL(sent + 1, g.h.sends.size());
   }
 
   void TwoLostProbesEndTheRequest() {
-    Guarded g;
+    TwelveLeafs g;
     g.h.Ask("/all/fatal", Seconds(2));
     LoseThree(&g);
-    LoseAllThatIsOut(&g);
+    LosePending(&g);
     g.h.Pass(Milliseconds(15));
     g.h.Lose(g.h.sends.back());
     g.h.Pass(Milliseconds(50));
@@ -227,7 +228,7 @@
   }
 
   void OneAnswerEndsProbation() {
-    Guarded g;
+    TwelveLeafs g;
     g.h.Ask("/all/harmless", Seconds(2));
     LoseThree(&g);
     const size_t sent = g.h.sends.size();
@@ -236,9 +237,9 @@
     CPPUNIT_ASSERT_EQUAL(sent + 1, g.h.sends.size());
   }
 
-  /// The leaf that is tried stands still: that must not hold up a harmless request.
+  /// The probed leaf is paused, which must not delay a harmless request.
   void SilentProbeIsFollowedByAnother() {
-    Guarded g;
+    TwelveLeafs g;
     g.h.Warn("/all/harmless");
     g.h.Ask("/all/harmless", Seconds(2));
     CPPUNIT_ASSERT_EQUAL(size_t{1}, g.h.sends.size());
@@ -248,8 +249,8 @@
     CPPUNIT_ASSERT(g.h.sends.size() >= kShards);
   }
 
-  void RequestThatControlWarnsOfIsTriedAtOneLeaf() {
-    Guarded g;
+  void SuspectOfAWarningIsTriedAtOneLeaf() {
+    TwelveLeafs g;
     g.h.Warn("/all/fatal");
     g.h.Ask("/all/fatal");
     CPPUNIT_ASSERT_EQUAL(size_t{1}, g.h.sends.size());
@@ -262,14 +263,14 @@
   }
 
  private:
-  static void LoseThree(Guarded* g) {
+  static void LoseThree(TwelveLeafs* g) {
     CPPUNIT_ASSERT_EQUAL(kShards, g->h.sends.size());
-    // The first two are sent again at once, as ever.
+    // The first two are retried at once, as usual.
     for (size_t i = 0; i < 3; ++i) {
       g->h.Lose(g->h.sends[i]);
     }
   }
-  static void LoseAllThatIsOut(Guarded* g) {
+  static void LosePending(TwelveLeafs* g) {
     const size_t sent = g->h.sends.size();
     for (size_t i = 3; i < sent; ++i) {
       g->h.Lose(g->h.sends[i]);
