--- a/test/gateway/gateway_server_test.cc
+++ b/test/gateway/gateway_server_test.cc
@@ -1,4 +1,4 @@
-// A gateway's decisions, without sockets: routes, attempts, failures, partial answers, leaving
+// A gateway's decisions without sockets: routes, attempts, failures, partial answers, leaving
 // leafs.
 #include "gateway/gateway_server.h"
 
@@ -21,48 +21,49 @@
 class GatewayServerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GatewayServerTest);
   CPPUNIT_TEST(WithoutRoutesARequestIsRefusedAfterAWhile);
-  CPPUNIT_TEST(RequestRightAfterTheStartIsToldWhenToComeBack);
+  CPPUNIT_TEST(RequestRightAfterTheStartGetsARetryHint);
   CPPUNIT_TEST(EarlyRequestIsServedOnceThereAreRoutes);
   CPPUNIT_TEST(EarlyRequestEndsWithItsClient);
-  CPPUNIT_TEST(TimeBeforeTheReadingCounts);
-  CPPUNIT_TEST(ControlIsLostOnlyAfterItWasThere);
-  CPPUNIT_TEST(OverdueLoserIsStopped);
-  CPPUNIT_TEST(PassesOneAnswerOn);
-  CPPUNIT_TEST(UnknownPathIsSaid);
-  CPPUNIT_TEST(RepeatableIsTriedAgainButNotMoreThanAllowed);
+  CPPUNIT_TEST(TimeBeforeReadingCounts);
+  CPPUNIT_TEST(ControlIsLostOnlyAfterFirstContact);
+  CPPUNIT_TEST(OverdueHedgedSubRequestIsStopped);
+  CPPUNIT_TEST(ForwardsALeafsAnswer);
+  CPPUNIT_TEST(UnknownPathIsRefused);
+  CPPUNIT_TEST(RepeatableIsRetriedUpToTheLimit);
   CPPUNIT_TEST(UnrepeatableIsNeverSentAfterItMayHaveRun);
-  CPPUNIT_TEST(UnrepeatableMayFollowARefusal);
-  CPPUNIT_TEST(LeafsOwnFailureIsPassedOn);
-  CPPUNIT_TEST(GathersTheGreatest);
-  CPPUNIT_TEST(GatherAsksALeafThatRefusesWithRoomAgainAndAgain);
+  CPPUNIT_TEST(UnrepeatableIsRetriedAfterARefusal);
+  CPPUNIT_TEST(LeafsFailureResponseIsForwarded);
+  CPPUNIT_TEST(GathersTheGreatestRecords);
+  CPPUNIT_TEST(GatherRetriesALeafThatRefusesWithRoom);
   CPPUNIT_TEST(GatherLeavesAFullLeafAloneAfterItsAttempts);
   CPPUNIT_TEST(AnswersBeforeTheObjectiveWithEnoughShards);
-  CPPUNIT_TEST(MarginFollowsWhatTheClientHasSpent);
-  CPPUNIT_TEST(HedgesSoonWhereManyLeafsAreSlow);
+  CPPUNIT_TEST(MarginDependsOnTheTimeSpentByTheClient);
+  CPPUNIT_TEST(HedgesEarlyIfManyLeafsAreSlow);
   CPPUNIT_TEST(TooFewShardsAreNoSuccess);
   CPPUNIT_TEST(RetiredLeafGetsNothing);
-  CPPUNIT_TEST(CrowdOfRetirementsIsTakenOverTogether);
-  CPPUNIT_TEST(ClientGoneStopsItsWork);
+  CPPUNIT_TEST(ManyRetirementsAreMergedTogether);
+  CPPUNIT_TEST(ClientDisconnectStopsItsWork);
   CPPUNIT_TEST(RunningRequestKeepsItsShards);
-  CPPUNIT_TEST(OlderDocumentChangesNothing);
-  CPPUNIT_TEST(DrainingTellsControlAtOnce);
-  CPPUNIT_TEST(TellsClientsOfOtherGateways);
-  CPPUNIT_TEST(ManyGatewaysGreetControlTheyDoNotFollowLessOften);
+  CPPUNIT_TEST(OlderDocumentIsIgnored);
+  CPPUNIT_TEST(DrainingIsReportedToControlAtOnce);
+  CPPUNIT_TEST(NamesOtherGatewaysToClients);
+  CPPUNIT_TEST(PresenceToUnfollowedControlIsRarerInLargeFleets);
   CPPUNIT_TEST(LeafRetiredByAChangeAmongOthersIsClosedAtOnce);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  /// Ten control machines were greeted by each of a thousand gateways twice a second: 2,000
-  /// messages a second at each of them in a calm time.
-  void ManyGatewaysGreetControlTheyDoNotFollowLessOften() {
+  /// Guards against a presence load that grows with the fleet: with 1,000 gateways that sent
+  /// presence messages to ten control machines twice a second, each machine received 2,000 messages
+  /// per second in steady state.
+  void PresenceToUnfollowedControlIsRarerInLargeFleets() {
     constexpr int kSeconds = 10;
     for (const uint32_t gateways : {20U, 985U, 8800U}) {
       GatewayHarness h;
       h.Put(1, kPlain);
       const std::vector<std::string> machines = {kControl, "10.0.0.2:7100", "10.0.0.3:7100"};
-      int greetings = 0;
+      int presences = 0;
       for (int i = 0; i < 2 * kSeconds; ++i) {
-        h.Vouch();
+        h.AnswerHello();
         for (const std::string& machine : machines) {
           wire::LeafFeed feed;
           feed.version = 1;
@@ -74,13 +75,13 @@
         for (const ControlMessage& message : std::exchange(h.control, {})) {
           const bool presence =
               std::holds_alternative<wire::GatewayPresence>(message.envelope.body);
-          greetings += presence && message.address == machines[1] ? 1 : 0;
+          presences += presence && message.address == machines[1] ? 1 : 0;
         }
       }
-      const int most = gateways == 20U ? 2 * kSeconds + 1 : kSeconds + 2;
-      CPPUNIT_ASSERT(greetings <= most);
-      // After 1.8 s without a word a gateway is no longer named to clients.
-      CPPUNIT_ASSERT(greetings >= kSeconds - 1);
+      const int max_presences = gateways == 20U ? 2 * kSeconds + 1 : kSeconds + 2;
+      CPPUNIT_ASSERT(presences <= max_presences);
+      // A gateway without a presence message for 1.8 s is no longer named to clients.
+      CPPUNIT_ASSERT(presences >= kSeconds - 1);
     }
   }
 
@@ -104,9 +105,9 @@
     }
   }
 
-  void TellsClientsOfOtherGateways() {
+  void NamesOtherGatewaysToClients() {
     GatewayHarness h;
-    // Without routes it sends nobody to itself, and it knows of no others.
+    // Without routes it does not direct clients to itself, and it knows of no other gateways.
     CPPUNIT_ASSERT(h.server.GatewaysFor({"north", ""}).empty());
     h.Put(1, R"([["one", "/one/", true, "s0"]])");
     CPPUNIT_ASSERT(h.server.GatewaysFor({"north", ""}) == std::vector<std::string>{"10.0.0.9:80"});
@@ -120,8 +121,8 @@
                    (std::vector<std::string>{"g2:80", "g0:80"}));
   }
 
-  /// Long before routes can be expected the answer comes at once and says when to come back.
-  void RequestRightAfterTheStartIsToldWhenToComeBack() {
+  /// Long before routes can be expected, requests are refused at once with a retry hint.
+  void RequestRightAfterTheStartGetsARetryHint() {
     GatewayHarness h;
     h.Ask("/one/1", Seconds(1));
     h.Pass(Duration(0));
@@ -154,7 +155,7 @@
     h.Report({GatewayHarness::Leaf("a", "desk")});
     h.Put(1, kPlain);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, h.sends.size());
-    // What it has waited is gone from the leaf's time.
+    // The waiting time is deducted from the leaf's budget.
     CPPUNIT_ASSERT(h.sends[0].budget <= Milliseconds(900));
     h.Reply(h.sends[0], query::LeafStatus::kOk, "hello");
     CPPUNIT_ASSERT_EQUAL(std::string("hello"), h.answers.at(0).payload->body);
@@ -171,7 +172,7 @@
     CPPUNIT_ASSERT(h.server.Drained());
   }
 
-  void ControlIsLostOnlyAfterItWasThere() {
+  void ControlIsLostOnlyAfterFirstContact() {
     GatewayHarness h;
     h.Pass(Milliseconds(10));
     CPPUNIT_ASSERT(h.links.empty());
@@ -187,7 +188,7 @@
     CPPUNIT_ASSERT(h.links.back().up);
   }
 
-  void TimeBeforeTheReadingCounts() {
+  void TimeBeforeReadingCounts() {
     GatewayHarness h;
     h.Put(1, kPlain);
     h.Report({GatewayHarness::Leaf("a", "desk")});
@@ -195,8 +196,9 @@
     CPPUNIT_ASSERT(h.sends.at(0).budget <= Milliseconds(700));
   }
 
-  /// A hedge's loser that has been out for long is stopped; one just sent may end.
-  void OverdueLoserIsStopped() {
+  /// The slower sub-request of a hedged pair is stopped if it is overdue; one that was just sent
+  /// may finish.
+  void OverdueHedgedSubRequestIsStopped() {
     GatewayHarness h;
     h.Put(1, R"([["all", "/all/", true, "s1", "s2"]])");
     h.Report({GatewayHarness::Leaf("a1", "s1"), GatewayHarness::Leaf("a2", "s1"),
@@ -215,7 +217,7 @@
     CPPUNIT_ASSERT(!h.cancels[1].stop_work);
   }
 
-  void PassesOneAnswerOn() {
+  void ForwardsALeafsAnswer() {
     GatewayHarness h;
     h.Put(1, kPlain);
     h.Report({GatewayHarness::Leaf("a", "desk")});
@@ -229,14 +231,14 @@
     CPPUNIT_ASSERT(h.server.Drained());
   }
 
-  void UnknownPathIsSaid() {
+  void UnknownPathIsRefused() {
     GatewayHarness h;
     h.Put(1, kPlain);
     h.Ask("/nowhere/1");
     CPPUNIT_ASSERT(h.answers.at(0).code == ResultCode::kUnknownPath);
   }
 
-  void RepeatableIsTriedAgainButNotMoreThanAllowed() {
+  void RepeatableIsRetriedUpToTheLimit() {
     GatewayHarness h;
     h.Put(1, kPlain);
     h.Report({GatewayHarness::Leaf("a", "desk"), GatewayHarness::Leaf("b", "desk"),
@@ -263,7 +265,7 @@
     CPPUNIT_ASSERT(h.answers.at(0).run == query::RunState::kUnknown);
   }
 
-  void UnrepeatableMayFollowARefusal() {
+  void UnrepeatableIsRetriedAfterARefusal() {
     GatewayHarness h;
     h.Put(1, kPlain);
     h.Report({GatewayHarness::Leaf("a", "desk"), GatewayHarness::Leaf("b", "desk")});
@@ -274,7 +276,7 @@
     CPPUNIT_ASSERT(h.answers.at(0).run == query::RunState::kNotRun);
   }
 
-  void LeafsOwnFailureIsPassedOn() {
+  void LeafsFailureResponseIsForwarded() {
     GatewayHarness h;
     h.Put(1, kPlain);
     h.Report({GatewayHarness::Leaf("a", "desk")});
@@ -283,7 +285,7 @@
     CPPUNIT_ASSERT_EQUAL(500, h.answers.at(0).payload->status);
   }
 
-  void GathersTheGreatest() {
+  void GathersTheGreatestRecords() {
     GatewayHarness h;
     StartGathering(&h);
     h.Ask("/all/1");
@@ -296,8 +298,8 @@
     CPPUNIT_ASSERT_EQUAL(size_t{0}, h.answers[0].missing_shards);
   }
 
-  /// Two refusals within two milliseconds ended a shard.
-  void GatherAsksALeafThatRefusesWithRoomAgainAndAgain() {
+  /// Guards against losing a shard after two refusals within two milliseconds.
+  void GatherRetriesALeafThatRefusesWithRoom() {
     GatewayOptions options = GatewayHarness::Options();
     options.extra_load.allowance = 100;
     GatewayHarness h(options);
@@ -310,7 +312,7 @@
       CPPUNIT_ASSERT_EQUAL(i + 1, h.sends.size());
       CPPUNIT_ASSERT_EQUAL(h.sends[3].leaf, h.sends[i].leaf);
       h.Reply(h.sends[i], query::LeafStatus::kShed);
-      // Not in the same moment: it has just said no.
+      // Not at once, because the leaf has just refused.
       CPPUNIT_ASSERT_EQUAL(i + 1, h.sends.size());
       h.Pass(Milliseconds(3));
     }
@@ -330,7 +332,7 @@
     h.Pass(Milliseconds(50));
     CPPUNIT_ASSERT_EQUAL(size_t{5}, h.sends.size());
     h.Reply(h.sends[4], query::LeafStatus::kShed, "", 200, kFull);
-    // Nothing more can come: what is there goes out.
+    // No further result is possible, so the partial answer is sent.
     CPPUNIT_ASSERT_EQUAL(size_t{1}, h.answers.at(0).missing_shards);
     CPPUNIT_ASSERT_EQUAL(size_t{5}, h.sends.size());
   }
@@ -350,19 +352,19 @@
     CPPUNIT_ASSERT_EQUAL(size_t{2}, h.answers[0].signatures.size());
   }
 
-  /// The route lets a request take two seconds, and so long its clients wait.
-  void MarginFollowsWhatTheClientHasSpent() {
+  /// The route's time-out is two seconds, which is also the clients' time-out.
+  void MarginDependsOnTheTimeSpentByTheClient() {
     struct Case {
-      Duration patience;
+      Duration client_deadline;
       Duration answered;
     };
     for (const Case& c :
          {Case{Seconds(2), Milliseconds(90)}, Case{Milliseconds(1970), Milliseconds(60)},
-          // Longer than the objective: the client has begun anew.
+          // More time spent than the objective allows: the client has started over.
           Case{Milliseconds(1500), Milliseconds(80)}}) {
       GatewayHarness h;
       StartGathering(&h);
-      h.Ask("/all/1", c.patience);
+      h.Ask("/all/1", c.client_deadline);
       h.Reply(h.sends[0], query::LeafStatus::kOk, Record('a'));
       h.Reply(h.sends[1], query::LeafStatus::kOk, Record('b'));
       h.Pass(c.answered - Milliseconds(1));
@@ -372,8 +374,9 @@
     }
   }
 
-  /// A quarter of the shards take 60 ms, the others 10: a high quantile lies among the slow ones.
-  void HedgesSoonWhereManyLeafsAreSlow() {
+  /// A quarter of the shards take 60 ms, the others 10 ms: a high quantile lies among the slow
+  /// ones.
+  void HedgesEarlyIfManyLeafsAreSlow() {
     GatewayHarness h;
     h.Put(1, kGather);
     std::vector<wire::LeafRecord> leafs;
@@ -428,15 +431,15 @@
     for (const LeafSend& send : h.sends) {
       CPPUNIT_ASSERT_EQUAL(std::string("b"), send.leaf);
     }
-    // A late word of a control machine that has not heard of it changes nothing.
+    // A late report of a control machine that does not know of the retirement has no effect.
     h.Report({GatewayHarness::Leaf("a", "desk")});
     h.Ask("/one/1");
     CPPUNIT_ASSERT_EQUAL(std::string("b"), h.sends.back().leaf);
   }
 
-  /// Each leaf of an old index leaves by a change of its own: the list is not worked through for
-  /// each, but none of them gets work for long.
-  void CrowdOfRetirementsIsTakenOverTogether() {
+  /// Each leaf of an old index is retired by a change of its own. The list of leafs is not
+  /// processed for each change, but none of the leafs receives requests for long.
+  void ManyRetirementsAreMergedTogether() {
     constexpr int kLeafs = 300;
     GatewayHarness h;
     h.Put(1, kPlain);
@@ -460,7 +463,7 @@
     }
   }
 
-  void ClientGoneStopsItsWork() {
+  void ClientDisconnectStopsItsWork() {
     GatewayHarness h;
     StartGathering(&h);
     const RequestId id = h.Ask("/all/1");
@@ -475,7 +478,7 @@
     CPPUNIT_ASSERT(h.answers.empty());
   }
 
-  /// A document that names other shards comes while a request runs.
+  /// A document with other shards arrives while a request runs.
   void RunningRequestKeepsItsShards() {
     GatewayHarness h;
     StartGathering(&h);
@@ -489,14 +492,14 @@
     CPPUNIT_ASSERT_EQUAL(size_t{6}, h.sends.size());
   }
 
-  void OlderDocumentChangesNothing() {
+  void OlderDocumentIsIgnored() {
     GatewayHarness h;
     h.Put(5, kPlain);
     h.Put(4, kGather);
     CPPUNIT_ASSERT_EQUAL(uint64_t{5}, h.server.document_version());
   }
 
-  void DrainingTellsControlAtOnce() {
+  void DrainingIsReportedToControlAtOnce() {
     GatewayHarness h;
     h.Put(1, kPlain);
     CPPUNIT_ASSERT(h.server.ready());
--- a/test/gateway/gateway_sharing_test.cc
+++ b/test/gateway/gateway_sharing_test.cc
@@ -1,5 +1,5 @@
-// Requests that several gateways work on together, without sockets: the gateway that the client
-// reached and one that merges a group.
+// Shared gathers without sockets: the gateway that the client reached (root), and a gateway that
+// merges a group.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <map>
@@ -15,7 +15,7 @@
 constexpr size_t kShards = 100;
 constexpr size_t kGroups = 8;
 constexpr PeerSessionId kSession = 3;
-/// A control machine of the gateway's zone.
+/// A control machine in the gateway's zone.
 constexpr char kNear[] = "10.0.0.2:7100";
 
 std::string Service(size_t i) { return "s" + std::to_string(i); }
@@ -38,7 +38,7 @@
 
 wire::GatewayRecord Peer(const std::string& node) { return {node, "north", node + ":7500"}; }
 
-/// A gateway with a hundred shards, a leaf each, and five others.
+/// A gateway with a hundred shards of one leaf each, and four other gateways.
 struct Sharing {
   Sharing() : h(SharingOptions()) {
     std::vector<wire::LeafRecord> leafs;
@@ -51,32 +51,32 @@
     h.Take();
   }
 
-  const wire::PartialQuery& Question(size_t i) const {
+  const wire::PartialQuery& PartialQueryAt(size_t i) const {
     return std::get<wire::PartialQuery>(h.peer_messages.at(i).envelope.body);
   }
-  void Word(const wire::PartialQuery& question, wire::PartialStage stage, char record = 0) {
-    wire::PartialAnswer word;
-    word.id = question.id;
-    word.stage = stage;
+  void SendAnswer(const wire::PartialQuery& query, wire::PartialStage stage, char record = 0) {
+    wire::PartialAnswer answer;
+    answer.id = query.id;
+    answer.stage = stage;
     if (record != 0) {
-      for (uint32_t i = 0; i < question.shards.size(); ++i) {
-        word.parts.push_back({i, "sig-" + question.shards[i]});
+      for (uint32_t i = 0; i < query.shards.size(); ++i) {
+        answer.parts.push_back({i, "sig-" + query.shards[i]});
       }
-      word.records = std::string(kRecordBytes, record);
+      answer.records = std::string(kRecordBytes, record);
     }
-    h.server.OnPeerWord(h.now, AddressOf(question.id), {"test", 1, word});
+    h.server.OnPeerWord(h.now, AddressOf(query.id), {"test", 1, answer});
     h.Take();
   }
-  std::string AddressOf(uint64_t question) const {
+  std::string AddressOf(uint64_t query_id) const {
     for (const PeerMessage& message : h.peer_messages) {
       const auto* query = std::get_if<wire::PartialQuery>(&message.envelope.body);
-      if (query != nullptr && query->id == question) {
+      if (query != nullptr && query->id == query_id) {
         return message.address;
       }
     }
     return {};
   }
-  /// The first shard of a group that this gateway owns.
+  /// Returns the first shard of a group that this gateway owns.
   static size_t FirstOfOwned() {
     const std::vector<query::ShardRange> ranges = CutIntoGroups(kShards, kGroups);
     std::vector<std::string> groups;
@@ -94,8 +94,9 @@
     CPPUNIT_FAIL("owns none");
     return 0;
   }
-  /// Asks this gateway to merge two shards.
-  void BeMerger(uint64_t id, uint32_t max_attempts = 2, bool again = false, bool stand_by = false) {
+  /// Sends this gateway a partial query over two shards.
+  void AskToMerge(uint64_t id, uint32_t max_attempts = 2, bool again = false,
+                  bool stand_by = false) {
     wire::PartialQuery query;
     query.id = id;
     query.route = "all";
@@ -117,7 +118,7 @@
     h.server.OnPeerQuestion(h.now, kSession, {"test", 1, wire::PartialConfirm{id}}, h.now);
     h.Take();
   }
-  const wire::PartialAnswer& WordSent(size_t i) const {
+  const wire::PartialAnswer& AnswerAt(size_t i) const {
     return std::get<wire::PartialAnswer>(h.peer_replies.at(i).envelope.body);
   }
 
@@ -129,32 +130,32 @@
 class GatewaySharingTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GatewaySharingTest);
   CPPUNIT_TEST(ManyShardsAreSharedInGroups);
-  CPPUNIT_TEST(GroupsGoToOtherZonesBeforeOneMergerHasMany);
-  CPPUNIT_TEST(WordsAreAskedForAndTakenInBeforeTheAnswerIsDue);
-  CPPUNIT_TEST(WithoutOthersItGathersAlone);
-  CPPUNIT_TEST(AnswerIsMadeOfPartialOnes);
+  CPPUNIT_TEST(GroupsSpreadOverZonesBeforeOneMergerHasMany);
+  CPPUNIT_TEST(ReportsAreTimedForTheAnswersDueTime);
+  CPPUNIT_TEST(WithoutPeersItGathersAlone);
+  CPPUNIT_TEST(AnswerCombinesPartialAnswers);
   CPPUNIT_TEST(SilentMergerIsAskedLast);
-  CPPUNIT_TEST(ClientGoneIsPassedOn);
+  CPPUNIT_TEST(ClientDisconnectCancelsPartialQueries);
   CPPUNIT_TEST(RunningRequestKeepsItsShards);
   CPPUNIT_TEST(FollowsAControlMachineOfItsZone);
-  CPPUNIT_TEST(MergerReportsWhenAllIsIn);
-  CPPUNIT_TEST(MergerReportsWhatIsInThenTheRest);
-  CPPUNIT_TEST(MergerIsHeardOfWhileItWaits);
+  CPPUNIT_TEST(MergerReportsWhenAllShardsAnswered);
+  CPPUNIT_TEST(MergerReportsAvailableResultsThenTheRest);
+  CPPUNIT_TEST(MergerSendsProgressWhileItWaits);
   CPPUNIT_TEST(MergerWithoutRoutesRefuses);
-  CPPUNIT_TEST(MergerDoesNothingWithAQuestionThatIsTooOld);
+  CPPUNIT_TEST(MergerRefusesAnExpiredQuery);
   CPPUNIT_TEST(CancelStopsTheWork);
   CPPUNIT_TEST(ClosedConnectionStopsTheWork);
-  CPPUNIT_TEST(MergerKeepsWithinItsAttempts);
+  CPPUNIT_TEST(MergerRespectsItsAttemptLimit);
   CPPUNIT_TEST(MergerSendsOnceUntilItIsConfirmed);
-  CPPUNIT_TEST(MergerOfASecondQuestionPaysForEverySubRequest);
-  CPPUNIT_TEST(MergerThatStandsBySendsNothingBeforeItIsConfirmed);
-  CPPUNIT_TEST(MergerThatStandsByForgetsWhatIsCancelledOrTooOld);
+  CPPUNIT_TEST(RepeatedPartialQueryIsChargedForEverySubRequest);
+  CPPUNIT_TEST(StandbyMergerSendsNothingBeforeItIsConfirmed);
+  CPPUNIT_TEST(StandbyMergerDropsCancelledAndExpiredQueries);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  /// Zones of three gateways: ten groups went to the two others of the own zone, whose processors
-  /// then took 50 ms of an objective of 80.
-  void GroupsGoToOtherZonesBeforeOneMergerHasMany() {
+  /// Three gateways per zone. Guards against assigning all ten groups to the two other gateways of
+  /// the own zone, whose processors then took 50 ms of an objective of 80 ms.
+  void GroupsSpreadOverZonesBeforeOneMergerHasMany() {
     Sharing s;
     std::vector<wire::LeafRecord> leafs;
     for (size_t i = 0; i < kShards; ++i) {
@@ -177,32 +178,33 @@
     s.h.Peers(peers);
     s.h.Take();
     s.h.Ask("/all/1");
-    std::map<std::string, int> given;
+    std::map<std::string, int> groups_by_merger;
     for (const PeerMessage& message : s.h.peer_messages) {
-      ++given[message.address];
+      ++groups_by_merger[message.address];
     }
-    CPPUNIT_ASSERT(given.size() >= 4);
-    for (const auto& [merger, groups] : given) {
+    CPPUNIT_ASSERT(groups_by_merger.size() >= 4);
+    for (const auto& [merger, groups] : groups_by_merger) {
       CPPUNIT_ASSERT(groups <= 2);
     }
   }
 
-  /// Ten words that come together take a gateway of 0.12 cores 5 ms: without that time answers left
-  /// too late for the objective, and without parts that had been made.
-  void WordsAreAskedForAndTakenInBeforeTheAnswerIsDue() {
+  /// Ten answers that arrive together take a gateway of 0.12 cores 5 ms. If this time is not
+  /// planned for, answers miss the objective and lack shard results that were available.
+  void ReportsAreTimedForTheAnswersDueTime() {
     Sharing s;
     s.h.Ask("/all/1");
-    const wire::PartialQuery question = s.Question(0);
-    const Duration words = TimeForWords(question.groups, SharingOptions().processor_share);
-    CPPUNIT_ASSERT(words >= Milliseconds(3));
-    const Duration objective = question.objective;
+    const wire::PartialQuery query = s.PartialQueryAt(0);
+    const Duration processing =
+        TimeForPartialAnswers(query.groups, SharingOptions().processor_share);
+    CPPUNIT_ASSERT(processing >= Milliseconds(3));
+    const Duration objective = query.objective;
     const GatewayKnobs knobs;
-    const Duration due = objective - knobs.answer_margin - words;
-    CPPUNIT_ASSERT(question.report_after == due - knobs.sharing_costs.hop - words);
-    // All but the last group are in: the answer goes out when it is due, not before.
-    const size_t questions = s.h.peer_messages.size();
-    for (size_t i = 0; i + 1 < questions; ++i) {
-      s.Word(s.Question(i), wire::PartialStage::kDone, 'a');
+    const Duration due = objective - knobs.answer_margin - processing;
+    CPPUNIT_ASSERT(query.report_after == due - knobs.sharing_costs.hop - processing);
+    // All groups but the last one have answered: the answer is sent when it is due, not before.
+    const size_t query_count = s.h.peer_messages.size();
+    for (size_t i = 0; i + 1 < query_count; ++i) {
+      s.SendAnswer(s.PartialQueryAt(i), wire::PartialStage::kDone, 'a');
     }
     s.h.Pass(due - Milliseconds(1));
     CPPUNIT_ASSERT(s.h.answers.empty());
@@ -218,13 +220,13 @@
     std::set<std::string> asked;
     for (size_t i = 0; i < s.h.peer_messages.size(); ++i) {
       CPPUNIT_ASSERT(s.h.peer_messages[i].address != SharingOptions().peer_address);
-      CPPUNIT_ASSERT(s.Question(i).budget < Seconds(1));
-      asked.insert(s.Question(i).shards.begin(), s.Question(i).shards.end());
+      CPPUNIT_ASSERT(s.PartialQueryAt(i).budget < Seconds(1));
+      asked.insert(s.PartialQueryAt(i).shards.begin(), s.PartialQueryAt(i).shards.end());
     }
     CPPUNIT_ASSERT_EQUAL(kShards, asked.size());
   }
 
-  void WithoutOthersItGathersAlone() {
+  void WithoutPeersItGathersAlone() {
     Sharing s;
     s.h.Peers({Peer("g1")});
     s.h.Ask("/all/1");
@@ -232,19 +234,19 @@
     CPPUNIT_ASSERT_EQUAL(kShards, s.h.sends.size());
   }
 
-  void AnswerIsMadeOfPartialOnes() {
+  void AnswerCombinesPartialAnswers() {
     Sharing s;
     s.h.Ask("/all/1");
-    const size_t questions = s.h.peer_messages.size();
-    for (size_t i = 0; i < questions; ++i) {
+    const size_t query_count = s.h.peer_messages.size();
+    for (size_t i = 0; i < query_count; ++i) {
       CPPUNIT_ASSERT(s.h.answers.empty());
-      s.Word(s.Question(i), wire::PartialStage::kDone, static_cast<char>('a' + i));
+      s.SendAnswer(s.PartialQueryAt(i), wire::PartialStage::kDone, static_cast<char>('a' + i));
     }
     const GatewayAnswer& answer = s.h.answers.at(0);
     CPPUNIT_ASSERT(answer.code == ResultCode::kOk);
     CPPUNIT_ASSERT(answer.gathered);
     CPPUNIT_ASSERT_EQUAL(kShards, answer.signatures.size());
-    const char best = static_cast<char>('a' + questions - 1);
+    const char best = static_cast<char>('a' + query_count - 1);
     CPPUNIT_ASSERT_EQUAL(std::string(kRecordBytes, best), answer.records.substr(0, kRecordBytes));
     CPPUNIT_ASSERT_EQUAL(2 * kRecordBytes, answer.records.size());
     CPPUNIT_ASSERT(s.h.server.Drained());
@@ -254,10 +256,10 @@
     Sharing s;
     s.h.Ask("/all/1");
     const std::string silent = s.h.peer_messages.at(0).address;
-    const size_t questions = s.h.peer_messages.size();
-    for (size_t i = 0; i < questions; ++i) {
+    const size_t query_count = s.h.peer_messages.size();
+    for (size_t i = 0; i < query_count; ++i) {
       if (s.h.peer_messages[i].address != silent) {
-        s.Word(s.Question(i), wire::PartialStage::kAccepted);
+        s.SendAnswer(s.PartialQueryAt(i), wire::PartialStage::kAccepted);
       }
     }
     s.h.Pass(Milliseconds(25));
@@ -268,37 +270,38 @@
     }
   }
 
-  void ClientGoneIsPassedOn() {
+  void ClientDisconnectCancelsPartialQueries() {
     Sharing s;
     const RequestId id = s.h.Ask("/all/1");
-    const size_t questions = s.h.peer_messages.size();
+    const size_t query_count = s.h.peer_messages.size();
     s.h.server.OnClientGone(s.h.now, id);
     s.h.Take();
-    CPPUNIT_ASSERT_EQUAL(2 * questions, s.h.peer_messages.size());
-    for (size_t i = questions; i < s.h.peer_messages.size(); ++i) {
+    CPPUNIT_ASSERT_EQUAL(2 * query_count, s.h.peer_messages.size());
+    for (size_t i = query_count; i < s.h.peer_messages.size(); ++i) {
       const auto& cancel = std::get<wire::PartialCancel>(s.h.peer_messages[i].envelope.body);
       CPPUNIT_ASSERT(cancel.stop_work);
     }
     CPPUNIT_ASSERT(s.h.server.Drained());
   }
 
-  /// A document with other shards comes while mergers change: what is asked stays as it was.
+  /// A document with other shards arrives while a group is reassigned: its shards stay the same.
   void RunningRequestKeepsItsShards() {
     Sharing s;
     s.h.Ask("/all/1");
-    const size_t questions = s.h.peer_messages.size();
-    const wire::PartialQuery first = s.Question(0);
+    const size_t query_count = s.h.peer_messages.size();
+    const wire::PartialQuery first = s.PartialQueryAt(0);
     s.h.Put(2, R"([["all", "/all/", true, "other0", "other1"]])");
-    s.Word(first, wire::PartialStage::kRefused);
-    CPPUNIT_ASSERT_EQUAL(questions + 1, s.h.peer_messages.size());
-    CPPUNIT_ASSERT(s.Question(questions).shards == first.shards);
+    s.SendAnswer(first, wire::PartialStage::kRefused);
+    CPPUNIT_ASSERT_EQUAL(query_count + 1, s.h.peer_messages.size());
+    CPPUNIT_ASSERT(s.PartialQueryAt(query_count).shards == first.shards);
   }
 
-  /// Peers are asked for where the configuration comes from: that shows whom the gateway follows.
+  /// The list of peers is requested from the followed control machine, which shows which one that
+  /// is.
   void FollowsAControlMachineOfItsZone() {
     Sharing s;
     const auto followed = [&s] {
-      s.h.Vouch();
+      s.h.AnswerHello();
       s.h.control.clear();
       s.h.Pass(Milliseconds(600));
       std::string address;
@@ -310,7 +313,7 @@
       }
       return address;
     };
-    const auto hear = [&s](const std::string& address, const std::string& zone, bool current) {
+    const auto report = [&s](const std::string& address, const std::string& zone, bool current) {
       wire::LeafFeed feed;
       feed.version = 1;
       feed.zone = zone;
@@ -319,66 +322,67 @@
       s.h.server.OnControlMessage(s.h.now, address, {"test", 0, feed});
     };
     CPPUNIT_ASSERT_EQUAL(std::string(kControl), followed());
-    const auto hear_both = [&](bool current) {
+    const auto report_both = [&](bool current) {
       for (int i = 0; i < 6; ++i) {
-        hear(kControl, "south", true);
-        hear(kNear, "north", current);
-        s.h.Vouch();
+        report(kControl, "south", true);
+        report(kNear, "north", current);
+        s.h.AnswerHello();
         s.h.Pass(Milliseconds(500));
       }
-      hear(kNear, "north", current);
+      report(kNear, "north", current);
     };
-    // Near, but cut off from the others: its word on the configuration would be old.
-    hear_both(/*current=*/false);
+    // In the same zone, but partitioned from the others: its configuration may be outdated.
+    report_both(/*current=*/false);
     CPPUNIT_ASSERT_EQUAL(std::string(kControl), followed());
-    hear_both(/*current=*/true);
+    report_both(/*current=*/true);
     CPPUNIT_ASSERT_EQUAL(std::string(kNear), followed());
     s.h.server.OnControlDisconnected(s.h.now, kNear);
     CPPUNIT_ASSERT_EQUAL(std::string(kControl), followed());
-    // It is left alone for a while, however near and well it says that it is.
-    hear_both(/*current=*/true);
+    // It is not followed for some time, even if it reports to be in the same zone and in touch with
+    // a quorum.
+    report_both(/*current=*/true);
     CPPUNIT_ASSERT_EQUAL(std::string(kControl), followed());
   }
 
-  void MergerReportsWhenAllIsIn() {
+  void MergerReportsWhenAllShardsAnswered() {
     Sharing s;
-    s.BeMerger(77);
+    s.AskToMerge(77);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, s.h.sends.size());
-    CPPUNIT_ASSERT(s.WordSent(0).stage == wire::PartialStage::kAccepted);
+    CPPUNIT_ASSERT(s.AnswerAt(0).stage == wire::PartialStage::kAccepted);
     CPPUNIT_ASSERT_EQUAL(std::string("client-77"), s.h.sends[0].request->request_id);
     s.h.Reply(s.h.sends[0], query::LeafStatus::kOk, std::string(16, 'a'));
     CPPUNIT_ASSERT_EQUAL(size_t{1}, s.h.peer_replies.size());
     s.h.Reply(s.h.sends[1], query::LeafStatus::kOk, std::string(16, 'b'));
-    const wire::PartialAnswer& word = s.WordSent(1);
-    CPPUNIT_ASSERT(word.stage == wire::PartialStage::kDone);
-    CPPUNIT_ASSERT_EQUAL(size_t{2}, word.parts.size());
-    CPPUNIT_ASSERT_EQUAL(std::string(16, 'b') + std::string(16, 'a'), word.records);
+    const wire::PartialAnswer& answer = s.AnswerAt(1);
+    CPPUNIT_ASSERT(answer.stage == wire::PartialStage::kDone);
+    CPPUNIT_ASSERT_EQUAL(size_t{2}, answer.parts.size());
+    CPPUNIT_ASSERT_EQUAL(std::string(16, 'b') + std::string(16, 'a'), answer.records);
     CPPUNIT_ASSERT_EQUAL(kSession, s.h.peer_replies[1].session);
     CPPUNIT_ASSERT(s.h.server.Drained());
   }
 
-  void MergerReportsWhatIsInThenTheRest() {
+  void MergerReportsAvailableResultsThenTheRest() {
     Sharing s;
-    s.BeMerger(77);
+    s.AskToMerge(77);
     s.h.Reply(s.h.sends[0], query::LeafStatus::kOk, std::string(16, 'a'));
     s.h.Pass(Milliseconds(59));
     for (size_t i = 0; i < s.h.peer_replies.size(); ++i) {
-      CPPUNIT_ASSERT(s.WordSent(i).stage == wire::PartialStage::kAccepted);
+      CPPUNIT_ASSERT(s.AnswerAt(i).stage == wire::PartialStage::kAccepted);
     }
     s.h.Pass(Milliseconds(1));
-    const wire::PartialAnswer early = s.WordSent(s.h.peer_replies.size() - 1);
+    const wire::PartialAnswer early = s.AnswerAt(s.h.peer_replies.size() - 1);
     CPPUNIT_ASSERT(early.stage == wire::PartialStage::kParts);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, early.parts.size());
     s.h.Reply(s.h.sends[1], query::LeafStatus::kOk, std::string(16, 'b'));
-    const wire::PartialAnswer& last = s.WordSent(s.h.peer_replies.size() - 1);
+    const wire::PartialAnswer& last = s.AnswerAt(s.h.peer_replies.size() - 1);
     CPPUNIT_ASSERT(last.stage == wire::PartialStage::kDone);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, last.parts.size());
     CPPUNIT_ASSERT_EQUAL(std::string(16, 'b'), last.records);
   }
 
-  void MergerIsHeardOfWhileItWaits() {
+  void MergerSendsProgressWhileItWaits() {
     Sharing s;
-    s.BeMerger(77);
+    s.AskToMerge(77);
     Timestamp last = s.h.now;
     for (int i = 0; i < 400; ++i) {
       s.h.peer_replies.clear();
@@ -398,12 +402,12 @@
     query.budget = Seconds(1);
     h.server.OnPeerQuestion(h.now, kSession, {"test", 1, query}, h.now);
     h.Take();
-    const auto& word = std::get<wire::PartialAnswer>(h.peer_replies.at(0).envelope.body);
-    CPPUNIT_ASSERT(word.stage == wire::PartialStage::kRefused);
+    const auto& answer = std::get<wire::PartialAnswer>(h.peer_replies.at(0).envelope.body);
+    CPPUNIT_ASSERT(answer.stage == wire::PartialStage::kRefused);
   }
 
-  /// The merger stood still: the question has waited longer than the client does.
-  void MergerDoesNothingWithAQuestionThatIsTooOld() {
+  /// The merger was paused, so the partial query has waited longer than the client does.
+  void MergerRefusesAnExpiredQuery() {
     Sharing s;
     wire::PartialQuery query;
     query.id = 1;
@@ -412,12 +416,12 @@
     s.h.server.OnPeerQuestion(s.h.now, kSession, {"test", 1, query}, s.h.now - Milliseconds(500));
     s.h.Take();
     CPPUNIT_ASSERT(s.h.sends.empty());
-    CPPUNIT_ASSERT(s.WordSent(0).stage == wire::PartialStage::kRefused);
+    CPPUNIT_ASSERT(s.AnswerAt(0).stage == wire::PartialStage::kRefused);
   }
 
   void CancelStopsTheWork() {
     Sharing s;
-    s.BeMerger(77);
+    s.AskToMerge(77);
     s.h.server.OnPeerQuestion(s.h.now, kSession, {"test", 1, wire::PartialCancel{77, true}},
                               s.h.now);
     s.h.Take();
@@ -431,8 +435,8 @@
 
   void ClosedConnectionStopsTheWork() {
     Sharing s;
-    s.BeMerger(77);
-    s.BeMerger(78);
+    s.AskToMerge(77);
+    s.AskToMerge(78);
     s.h.server.OnPeerSessionClosed(s.h.now, kSession + 1);
     CPPUNIT_ASSERT(!s.h.server.Drained());
     s.h.server.OnPeerSessionClosed(s.h.now, kSession);
@@ -441,25 +445,25 @@
     CPPUNIT_ASSERT(s.h.server.Drained());
   }
 
-  void MergerKeepsWithinItsAttempts() {
+  void MergerRespectsItsAttemptLimit() {
     Sharing s;
     s.h.Report({GatewayHarness::Leaf("a1", Service(Sharing::FirstOfOwned())),
                 GatewayHarness::Leaf("a2", Service(Sharing::FirstOfOwned())),
                 GatewayHarness::Leaf("a3", Service(Sharing::FirstOfOwned())),
                 GatewayHarness::Leaf("b1", Service(Sharing::FirstOfOwned() + 1))});
     s.h.Pass(Milliseconds(200));
-    s.BeMerger(77, /*max_attempts=*/1);
+    s.AskToMerge(77, /*max_attempts=*/1);
     const auto is_first = [](const LeafSend& send) { return send.shard.value == 0; };
     s.h.Pass(Milliseconds(300));
     CPPUNIT_ASSERT_EQUAL(long{1}, std::count_if(s.h.sends.begin(), s.h.sends.end(), is_first));
     s.h.sends.clear();
-    s.BeMerger(78, /*max_attempts=*/2);
+    s.AskToMerge(78, /*max_attempts=*/2);
     s.Confirm(78);
     s.h.Pass(Milliseconds(300));
     CPPUNIT_ASSERT_EQUAL(long{2}, std::count_if(s.h.sends.begin(), s.h.sends.end(), is_first));
   }
 
-  /// The gateway that asked may have given up on this one and asked another.
+  /// The root may have abandoned this merger and asked another one.
   void MergerSendsOnceUntilItIsConfirmed() {
     Sharing s;
     s.h.Report({GatewayHarness::Leaf("a1", Service(Sharing::FirstOfOwned())),
@@ -467,7 +471,7 @@
                 GatewayHarness::Leaf("b1", Service(Sharing::FirstOfOwned() + 1)),
                 GatewayHarness::Leaf("b2", Service(Sharing::FirstOfOwned() + 1))});
     s.h.Pass(Milliseconds(200));
-    s.BeMerger(77);
+    s.AskToMerge(77);
     s.h.Reply(s.h.sends.at(0), query::LeafStatus::kFailed);
     s.h.Pass(Milliseconds(200));
     CPPUNIT_ASSERT_EQUAL(size_t{2}, s.h.sends.size());
@@ -476,50 +480,50 @@
     CPPUNIT_ASSERT_EQUAL(size_t{4}, s.h.sends.size());
   }
 
-  void MergerThatStandsBySendsNothingBeforeItIsConfirmed() {
+  void StandbyMergerSendsNothingBeforeItIsConfirmed() {
     Sharing s;
-    s.BeMerger(77, /*max_attempts=*/1, /*again=*/true, /*stand_by=*/true);
-    CPPUNIT_ASSERT(s.WordSent(0).stage == wire::PartialStage::kAccepted);
+    s.AskToMerge(77, /*max_attempts=*/1, /*again=*/true, /*stand_by=*/true);
+    CPPUNIT_ASSERT(s.AnswerAt(0).stage == wire::PartialStage::kAccepted);
     s.h.Pass(Milliseconds(100));
     CPPUNIT_ASSERT_EQUAL(size_t{0}, s.h.sends.size());
     s.Confirm(77);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, s.h.sends.size());
-    // The time that has passed since the question came is gone.
+    // The time since the arrival of the query is deducted.
     CPPUNIT_ASSERT(s.h.sends[0].budget <= Milliseconds(400));
     s.Confirm(77);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, s.h.sends.size());
   }
 
-  void MergerThatStandsByForgetsWhatIsCancelledOrTooOld() {
+  void StandbyMergerDropsCancelledAndExpiredQueries() {
     Sharing s;
-    s.BeMerger(77, /*max_attempts=*/1, /*again=*/true, /*stand_by=*/true);
-    s.BeMerger(78, /*max_attempts=*/1, /*again=*/true, /*stand_by=*/true);
-    s.BeMerger(79, /*max_attempts=*/1, /*again=*/true, /*stand_by=*/true);
+    s.AskToMerge(77, /*max_attempts=*/1, /*again=*/true, /*stand_by=*/true);
+    s.AskToMerge(78, /*max_attempts=*/1, /*again=*/true, /*stand_by=*/true);
+    s.AskToMerge(79, /*max_attempts=*/1, /*again=*/true, /*stand_by=*/true);
     s.h.server.OnPeerQuestion(s.h.now, kSession, {"test", 1, wire::PartialCancel{77, true}},
                               s.h.now);
     s.Confirm(77);
     s.h.Pass(Milliseconds(500));
     s.Confirm(78);
-    CPPUNIT_ASSERT(s.WordSent(s.h.peer_replies.size() - 1).stage == wire::PartialStage::kRefused);
+    CPPUNIT_ASSERT(s.AnswerAt(s.h.peer_replies.size() - 1).stage == wire::PartialStage::kRefused);
     s.h.server.OnPeerSessionClosed(s.h.now, kSession);
     s.Confirm(79);
     CPPUNIT_ASSERT_EQUAL(size_t{0}, s.h.sends.size());
     CPPUNIT_ASSERT(s.h.server.Drained());
   }
 
-  /// The budget of one gateway among many is soon spent by questions that others had before.
-  void MergerOfASecondQuestionPaysForEverySubRequest() {
+  /// Repeated partial queries exhaust the budget of one gateway among many soon.
+  void RepeatedPartialQueryIsChargedForEverySubRequest() {
     Sharing s;
     const size_t many = 60;
     size_t answered = 0;
     for (uint64_t id = 1; id <= many; ++id) {
-      s.BeMerger(id, /*max_attempts=*/1, /*again=*/true);
-      // The leafs answer at once, so that only the budget can hold a sub-request back.
+      s.AskToMerge(id, /*max_attempts=*/1, /*again=*/true);
+      // The leafs answer at once, so that only the budget limits the sub-requests.
       for (; answered < s.h.sends.size(); ++answered) {
         s.h.Reply(s.h.sends[answered], query::LeafStatus::kOk, std::string(16, 'a'));
       }
     }
-    // Ten sub-requests in all are allowed beyond the first ones, for each shard.
+    // Ten sub-requests in total are allowed beyond the first ones, for each shard.
     CPPUNIT_ASSERT(s.h.sends.size() < 2 * many);
     CPPUNIT_ASSERT(s.h.sends.size() <= 2 * 10);
   }
--- a/test/gateway/gateway_tenants_property_test.cc
+++ b/test/gateway/gateway_tenants_property_test.cc
@@ -1,5 +1,5 @@
-// Random documents with and without tenants, and random requests between them: what runs, and under
-// which name, is what the newest document says, and no leaf sees a key.
+// Random documents with and without tenants, and random requests between them. Requests run under
+// the tenant that the newest document gives, and no leaf receives a key.
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
 
@@ -10,11 +10,11 @@
 
 const std::vector<std::string> kKeys = {"hush-1", "hush-2", "hush-3", "hush-4", "hush-5"};
 
-/// What one document says of keys.
-struct KeyWorld {
+/// The keys of one document.
+struct KeyConfig {
   bool keyed = false;
   bool open = false;
-  /// Whose each key is, by its place in kKeys; empty: nobody's.
+  /// Tenant of each key, in the order of kKeys; empty: none.
   std::vector<std::string> owners;
 
   std::vector<tenants::Tenant> Tenants() const {
@@ -38,27 +38,27 @@
   }
 };
 
-KeyWorld ArbitraryWorld() {
-  KeyWorld world;
-  world.keyed = *rc::gen::weightedElement<bool>({{4, true}, {1, false}});
-  world.open = *rc::gen::weightedElement<bool>({{1, true}, {3, false}});
-  world.owners = *rc::gen::container<std::vector<std::string>>(
+KeyConfig ArbitraryKeyConfig() {
+  KeyConfig key_config;
+  key_config.keyed = *rc::gen::weightedElement<bool>({{4, true}, {1, false}});
+  key_config.open = *rc::gen::weightedElement<bool>({{1, true}, {3, false}});
+  key_config.owners = *rc::gen::container<std::vector<std::string>>(
       kKeys.size(), rc::gen::element<std::string>("", "acme", "other", "third"));
-  return world;
+  return key_config;
 }
 
 std::string HeadOf(const LeafSend& send) {
   return send.head != nullptr ? *send.head : send.request->encoded_head;
 }
 
-void CheckRequest(GatewayHarness* h, const KeyWorld& world, const std::string& path) {
+void CheckRequest(GatewayHarness* h, const KeyConfig& key_config, const std::string& path) {
   const std::string key = *rc::gen::oneOf(
       rc::gen::elementOf(kKeys), rc::gen::element<std::string>("", "false", "hush-11", "acme"));
   h->sends.clear();
   h->answers.clear();
   h->AskWithKey(path, key);
-  const std::string owner = world.OwnerOf(key);
-  const bool needs_key = world.keyed && !world.open;
+  const std::string owner = key_config.OwnerOf(key);
+  const bool needs_key = key_config.keyed && !key_config.open;
   if (needs_key && owner.empty()) {
     RC_ASSERT(h->sends.empty());
     RC_ASSERT(h->answers.size() == 1U);
@@ -66,7 +66,7 @@
     return;
   }
   RC_ASSERT(!h->sends.empty());
-  // Some fail, and others are sent instead.
+  // Some sub-requests fail and are retried.
   for (size_t i = 0; i < h->sends.size(); ++i) {
     const LeafSend send = h->sends[i];
     const bool fails = *rc::gen::weightedElement<bool>({{1, true}, {3, false}});
@@ -75,8 +75,8 @@
   for (const LeafSend& send : h->sends) {
     RC_ASSERT(send.tenant == (needs_key ? owner : ""));
     const bool passes_on = HeadOf(send).find("Claim: somebody else") != std::string::npos;
-    RC_ASSERT(passes_on == !world.keyed);
-    RC_ASSERT(!world.keyed || HeadOf(send).find("hush") == std::string::npos);
+    RC_ASSERT(passes_on == !key_config.keyed);
+    RC_ASSERT(!key_config.keyed || HeadOf(send).find("hush") == std::string::npos);
   }
   h->Pass(Seconds(3));
   RC_ASSERT(h->answers.size() == 1U);
@@ -99,14 +99,14 @@
                 GatewayHarness::Leaf("c", "s1"), GatewayHarness::Leaf("d", "s1")});
       const auto documents = *rc::gen::inRange<uint64_t>(1, 5);
       for (uint64_t version = 1; version <= documents; ++version) {
-        const KeyWorld world = ArbitraryWorld();
-        h.SetTenants(world.keyed ? std::optional(world.Tenants()) : std::nullopt);
-        h.SetOpen(world.open ? std::set<std::string>{"one", "two"} : std::set<std::string>{});
+        const KeyConfig key_config = ArbitraryKeyConfig();
+        h.SetTenants(key_config.keyed ? std::optional(key_config.Tenants()) : std::nullopt);
+        h.SetOpen(key_config.open ? std::set<std::string>{"one", "two"} : std::set<std::string>{});
         h.Put(version, document);
         const auto requests = *rc::gen::inRange(1, 6);
         for (int i = 0; i < requests; ++i) {
           h.Prove();
-          CheckRequest(&h, world, *rc::gen::element<std::string>("/one/1", "/two/1"));
+          CheckRequest(&h, key_config, *rc::gen::element<std::string>("/one/1", "/two/1"));
         }
       }
     });
--- a/test/gateway/gateway_tenants_test.cc
+++ b/test/gateway/gateway_tenants_test.cc
@@ -1,4 +1,4 @@
-// What a gateway serves and tells leafs where documents have tenants, without sockets.
+// Requests and sub-requests of a gateway whose documents have tenants, without sockets.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "gateway/gateway_harness.h"
@@ -18,7 +18,7 @@
   return tenant;
 }
 
-/// One route over one service, one open, and one over two shards.
+/// One route over one service, one that needs no key, and one over two shards.
 std::string Document() {
   return Json::array({{"one", "/one/", true, "s0"},
                       {"open", "/open/", true, "s0"},
@@ -34,9 +34,9 @@
   return Json::array({route}).dump();
 }
 
-/// A gateway whose document has two tenants, with two leafs a service.
-struct Keyed {
-  explicit Keyed(const GatewayOptions& options = GatewayHarness::Options()) : h(options) {
+/// A gateway whose document has two tenants, with two leafs per service.
+struct KeyedGateway {
+  explicit KeyedGateway(const GatewayOptions& options = GatewayHarness::Options()) : h(options) {
     h.SetTenants(std::vector{TenantOf("acme", {kKey}), TenantOf("other", {kOtherKey})});
     h.SetOpen({"open"});
     h.Put(1, Document());
@@ -46,7 +46,7 @@
   GatewayHarness h;
 };
 
-/// A gateway that shares gathers over a hundred shards with five others.
+/// A gateway that shares gathers over a hundred shards with four others.
 struct KeyedSharing {
   explicit KeyedSharing(bool keyed = true) : h(Options()) {
     if (keyed) {
@@ -72,24 +72,24 @@
     options.processor_share = 0.12;
     return options;
   }
-  std::vector<wire::PartialQuery> Questions() const {
-    std::vector<wire::PartialQuery> questions;
+  std::vector<wire::PartialQuery> PartialQueries() const {
+    std::vector<wire::PartialQuery> queries;
     for (const PeerMessage& message : h.peer_messages) {
       if (const auto* query = std::get_if<wire::PartialQuery>(&message.envelope.body)) {
-        questions.push_back(*query);
+        queries.push_back(*query);
       }
     }
-    return questions;
+    return queries;
   }
   GatewayHarness h;
 };
 
-/// What a leaf is sent, but for what the dialect adds of its own.
+/// Returns the head sent to a leaf, without the dialect's additions.
 std::string HeadOf(const LeafSend& send) {
   return send.head != nullptr ? *send.head : send.request->encoded_head;
 }
 
-void AssertOf(const std::string& tenant, const LeafSend& send) {
+void AssertTenant(const std::string& tenant, const LeafSend& send) {
   CPPUNIT_ASSERT_EQUAL(tenant, send.tenant);
   CPPUNIT_ASSERT(HeadOf(send).find("hush") == std::string::npos);
   CPPUNIT_ASSERT(HeadOf(send).find("somebody else") == std::string::npos);
@@ -99,33 +99,33 @@
 
 class GatewayTenantsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GatewayTenantsTest);
-  CPPUNIT_TEST(WithoutAKnownKeyItIsRefusedAtOnce);
-  CPPUNIT_TEST(AFullGatewayRefusesUnknownKeysAsSuch);
+  CPPUNIT_TEST(RequestsWithoutAKnownKeyAreRefusedAtOnce);
+  CPPUNIT_TEST(FullGatewayRefusesUnknownKeysAsSuch);
   CPPUNIT_TEST(FirstSendsHedgesAndRetriesNameTheTenant);
   CPPUNIT_TEST(GathersNameTheTenantAtEachShard);
-  CPPUNIT_TEST(OpenRoutesDropWhatIsClaimed);
-  CPPUNIT_TEST(WithoutTenantsAllIsPassedOn);
-  CPPUNIT_TEST(QuestionsNameTheTenantAndNoKey);
-  CPPUNIT_TEST(QuestionsWithoutTenantsPassAllOn);
-  CPPUNIT_TEST(MergersAndStandInsNameTheTenant);
-  CPPUNIT_TEST(MergersOfAnotherDocumentGoByTheRootsWord);
-  CPPUNIT_TEST(KeysComeAndGoWithTheDocument);
-  CPPUNIT_TEST(AKeyThatMovesNamesItsNewTenant);
+  CPPUNIT_TEST(OpenRoutesDropTheClaimedIdentity);
+  CPPUNIT_TEST(WithoutTenantsAllHeadersAreForwarded);
+  CPPUNIT_TEST(PartialQueriesNameTheTenantAndNoKey);
+  CPPUNIT_TEST(PartialQueriesWithoutTenantsForwardAllHeaders);
+  CPPUNIT_TEST(MergersAndStandbysNameTheTenant);
+  CPPUNIT_TEST(MergersUseTheTenantGivenByTheRoot);
+  CPPUNIT_TEST(KeysChangeWithTheDocument);
+  CPPUNIT_TEST(MovedKeyNamesItsNewTenant);
   CPPUNIT_TEST(RequestsBeforeTheFirstDocumentNeedKeys);
-  CPPUNIT_TEST(WhoWakesRefusesNothingThatMayBeNew);
-  CPPUNIT_TEST(NewsAreTakenWithoutProof);
-  CPPUNIT_TEST(WithoutProofTheUnknownIsToldToGoElsewhere);
-  CPPUNIT_TEST(WithoutAKeyNothingWaitsForProof);
-  CPPUNIT_TEST(UnprovenRequestsAreBoundedAndMayLeave);
-  CPPUNIT_TEST(TenantsPriorityGoesBeforeTheRoutes);
-  CPPUNIT_TEST(HomesOfTenantsBind);
-  CPPUNIT_TEST(HomesOfRouteAndTenantBothBind);
-  CPPUNIT_TEST(MergersAreToldTheHomesOfTenants);
+  CPPUNIT_TEST(ResumedGatewayHoldsUnknownKeysAndPaths);
+  CPPUNIT_TEST(NewDocumentIsUsedWithoutProof);
+  CPPUNIT_TEST(WithoutProofUnknownRequestsGetStaleConfiguration);
+  CPPUNIT_TEST(RequestsWithoutAKeyDoNotWaitForProof);
+  CPPUNIT_TEST(HeldRequestsAreBoundedAndCancellable);
+  CPPUNIT_TEST(TenantsPriorityOverridesTheRoutes);
+  CPPUNIT_TEST(AllowedRegionsOfTenantsApply);
+  CPPUNIT_TEST(AllowedRegionsOfRouteAndTenantBothApply);
+  CPPUNIT_TEST(PartialQueriesNameTheTenantsRegions);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void WithoutAKnownKeyItIsRefusedAtOnce() {
-    Keyed k;
+  void RequestsWithoutAKnownKeyAreRefusedAtOnce() {
+    KeyedGateway k;
     for (const char* key : {"", "unknown", "acme", "HUSH-1"}) {
       for (const char* path : {"/one/1", "/two/1"}) {
         const RequestId id = k.h.AskWithKey(path, key);
@@ -137,10 +137,10 @@
     CPPUNIT_ASSERT(k.h.sends.empty());
   }
 
-  void AFullGatewayRefusesUnknownKeysAsSuch() {
+  void FullGatewayRefusesUnknownKeysAsSuch() {
     GatewayOptions options = GatewayHarness::Options();
     options.knobs.max_in_progress = 1;
-    Keyed k(options);
+    KeyedGateway k(options);
     k.h.AskWithKey("/one/1", kKey);
     k.h.AskWithKey("/one/2", kKey);
     CPPUNIT_ASSERT(k.h.answers.back().code == ResultCode::kOverloaded);
@@ -150,14 +150,14 @@
   }
 
   void FirstSendsHedgesAndRetriesNameTheTenant() {
-    Keyed k;
+    KeyedGateway k;
     k.h.AskWithKey("/one/1", kKey);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, k.h.sends.size());
-    AssertOf("acme", k.h.sends[0]);
+    AssertTenant("acme", k.h.sends[0]);
     // A hedge.
     k.h.Pass(Milliseconds(500));
     CPPUNIT_ASSERT_EQUAL(size_t{2}, k.h.sends.size());
-    AssertOf("acme", k.h.sends[1]);
+    AssertTenant("acme", k.h.sends[1]);
     k.h.Reply(k.h.sends[1], query::LeafStatus::kOk, "x");
     CPPUNIT_ASSERT(k.h.answers.back().code == ResultCode::kOk);
     CPPUNIT_ASSERT_EQUAL(std::string("acme"), k.h.answers.back().trace.tenant);
@@ -165,31 +165,31 @@
     k.h.AskWithKey("/one/2", kOtherKey);
     k.h.Reply(k.h.sends.back(), query::LeafStatus::kFailed);
     CPPUNIT_ASSERT_EQUAL(size_t{4}, k.h.sends.size());
-    AssertOf("other", k.h.sends[2]);
-    AssertOf("other", k.h.sends[3]);
+    AssertTenant("other", k.h.sends[2]);
+    AssertTenant("other", k.h.sends[3]);
   }
 
   void GathersNameTheTenantAtEachShard() {
-    Keyed k;
+    KeyedGateway k;
     k.h.AskWithKey("/two/1", kOtherKey);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, k.h.sends.size());
     for (const LeafSend& send : k.h.sends) {
-      AssertOf("other", send);
+      AssertTenant("other", send);
     }
   }
 
-  void OpenRoutesDropWhatIsClaimed() {
-    Keyed k;
+  void OpenRoutesDropTheClaimedIdentity() {
+    KeyedGateway k;
     for (const char* key : {"", "unknown", kKey}) {
       k.h.AskWithKey("/open/1", key);
-      AssertOf("", k.h.sends.back());
+      AssertTenant("", k.h.sends.back());
       k.h.Reply(k.h.sends.back(), query::LeafStatus::kOk, "x");
       CPPUNIT_ASSERT_MESSAGE(key, k.h.answers.back().code == ResultCode::kOk);
     }
   }
 
-  void WithoutTenantsAllIsPassedOn() {
-    Keyed k;
+  void WithoutTenantsAllHeadersAreForwarded() {
+    KeyedGateway k;
     k.h.SetTenants(std::nullopt);
     k.h.Put(2, Document());
     for (const char* path : {"/one/1", "/open/1", "/two/1"}) {
@@ -206,108 +206,108 @@
     }
   }
 
-  void QuestionsNameTheTenantAndNoKey() {
+  void PartialQueriesNameTheTenantAndNoKey() {
     KeyedSharing k;
     k.h.AskWithKey("/all/1", kKey);
-    CPPUNIT_ASSERT(k.Questions().size() > 1);
-    // Nobody answers: others are asked instead.
-    const size_t first = k.Questions().size();
+    CPPUNIT_ASSERT(k.PartialQueries().size() > 1);
+    // No merger answers, so others are asked.
+    const size_t first = k.PartialQueries().size();
     k.h.Pass(Milliseconds(300));
-    CPPUNIT_ASSERT(k.Questions().size() > first);
-    for (const wire::PartialQuery& question : k.Questions()) {
-      CPPUNIT_ASSERT_EQUAL(std::string("acme"), question.tenant);
-      CPPUNIT_ASSERT_EQUAL(std::string("GET /all/1 HTTP/1.1\r\n"), question.head);
-      CPPUNIT_ASSERT(question.payload.find("hush") == std::string::npos);
+    CPPUNIT_ASSERT(k.PartialQueries().size() > first);
+    for (const wire::PartialQuery& query : k.PartialQueries()) {
+      CPPUNIT_ASSERT_EQUAL(std::string("acme"), query.tenant);
+      CPPUNIT_ASSERT_EQUAL(std::string("GET /all/1 HTTP/1.1\r\n"), query.head);
+      CPPUNIT_ASSERT(query.payload.find("hush") == std::string::npos);
     }
   }
 
-  void QuestionsWithoutTenantsPassAllOn() {
+  void PartialQueriesWithoutTenantsForwardAllHeaders() {
     KeyedSharing k(/*keyed=*/false);
     k.h.AskWithKey("/all/1", kKey);
-    CPPUNIT_ASSERT(!k.Questions().empty());
-    for (const wire::PartialQuery& question : k.Questions()) {
-      CPPUNIT_ASSERT(question.tenant.empty());
+    CPPUNIT_ASSERT(!k.PartialQueries().empty());
+    for (const wire::PartialQuery& query : k.PartialQueries()) {
+      CPPUNIT_ASSERT(query.tenant.empty());
       CPPUNIT_ASSERT_EQUAL(
           std::string("GET /all/1 HTTP/1.1\r\nKey: hush-1\r\nClaim: somebody else\r\n"),
-          question.head);
+          query.head);
     }
   }
 
-  /// @return what a gateway that is asked for a group sends to leafs.
-  static std::vector<LeafSend> SendsOf(KeyedSharing* k, wire::PartialQuery question) {
-    k->h.server.OnPeerQuestion(k->h.now, kSession, {"test", 1, question}, k->h.now);
-    if (question.stand_by) {
+  /// Sends a partial query. @return the sub-requests sent for it.
+  static std::vector<LeafSend> SendsOf(KeyedSharing* k, wire::PartialQuery query) {
+    k->h.server.OnPeerQuestion(k->h.now, kSession, {"test", 1, query}, k->h.now);
+    if (query.stand_by) {
       k->h.Take();
       CPPUNIT_ASSERT(k->h.sends.empty());
-      k->h.server.OnPeerQuestion(k->h.now, kSession, {"test", 1, wire::PartialConfirm{question.id}},
+      k->h.server.OnPeerQuestion(k->h.now, kSession, {"test", 1, wire::PartialConfirm{query.id}},
                                  k->h.now);
     }
     k->h.Take();
     return k->h.sends;
   }
   static wire::PartialQuery Group() {
-    wire::PartialQuery question;
-    question.id = 77;
-    question.route = "all";
-    question.request_id = "r1";
-    question.method = "GET";
-    question.head = "GET /all/1 HTTP/1.1\r\n";
-    question.budget = Seconds(1);
-    question.objective = Milliseconds(100);
-    question.groups = 50;
-    question.shards = {"s0", "s1"};
-    question.tenant = "acme";
-    return question;
-  }
-
-  void MergersAndStandInsNameTheTenant() {
+    wire::PartialQuery query;
+    query.id = 77;
+    query.route = "all";
+    query.request_id = "r1";
+    query.method = "GET";
+    query.head = "GET /all/1 HTTP/1.1\r\n";
+    query.budget = Seconds(1);
+    query.objective = Milliseconds(100);
+    query.groups = 50;
+    query.shards = {"s0", "s1"};
+    query.tenant = "acme";
+    return query;
+  }
+
+  void MergersAndStandbysNameTheTenant() {
     for (const bool stand_by : {false, true}) {
       KeyedSharing k;
-      wire::PartialQuery question = Group();
-      question.stand_by = stand_by;
-      const std::vector<LeafSend> sends = SendsOf(&k, question);
+      wire::PartialQuery query = Group();
+      query.stand_by = stand_by;
+      const std::vector<LeafSend> sends = SendsOf(&k, query);
       CPPUNIT_ASSERT_EQUAL(size_t{2}, sends.size());
       for (const LeafSend& send : sends) {
-        AssertOf("acme", send);
-        CPPUNIT_ASSERT_EQUAL(question.head, HeadOf(send));
+        AssertTenant("acme", send);
+        CPPUNIT_ASSERT_EQUAL(query.head, HeadOf(send));
       }
     }
   }
 
-  void MergersOfAnotherDocumentGoByTheRootsWord() {
-    // The root has a newer document, with a tenant that is not known here.
+  void MergersUseTheTenantGivenByTheRoot() {
+    // The root has a newer document, with a tenant that is unknown here.
     KeyedSharing older;
-    wire::PartialQuery question = Group();
-    question.tenant = "new";
-    for (const LeafSend& send : SendsOf(&older, question)) {
-      AssertOf("new", send);
+    wire::PartialQuery query = Group();
+    query.tenant = "new";
+    for (const LeafSend& send : SendsOf(&older, query)) {
+      AssertTenant("new", send);
     }
-    // The root's document has no tenants, and the client's words stand in its head.
+    // The root's document has no tenants, so its head includes the client's claims.
     KeyedSharing newer;
-    question.tenant.clear();
-    question.head = "GET /all/1 HTTP/1.1\r\nClaim: me\r\n";
-    for (const LeafSend& send : SendsOf(&newer, question)) {
+    query.tenant.clear();
+    query.head = "GET /all/1 HTTP/1.1\r\nClaim: me\r\n";
+    for (const LeafSend& send : SendsOf(&newer, query)) {
       CPPUNIT_ASSERT(send.tenant.empty());
-      CPPUNIT_ASSERT_EQUAL(question.head, HeadOf(send));
+      CPPUNIT_ASSERT_EQUAL(query.head, HeadOf(send));
     }
   }
 
-  void KeysComeAndGoWithTheDocument() {
-    Keyed k;
+  void KeysChangeWithTheDocument() {
+    KeyedGateway k;
     k.h.AskWithKey("/one/1", "hush-3");
     CPPUNIT_ASSERT(k.h.answers.back().code == ResultCode::kUnknownKey);
     k.h.SetTenants(std::vector{TenantOf("acme", {"hush-3"}), TenantOf("new", {"hush-4"})});
     k.h.Put(2, Document());
     k.h.AskWithKey("/one/2", "hush-3");
-    AssertOf("acme", k.h.sends.back());
+    AssertTenant("acme", k.h.sends.back());
     k.h.AskWithKey("/one/3", "hush-4");
-    AssertOf("new", k.h.sends.back());
+    AssertTenant("new", k.h.sends.back());
     const size_t sent = k.h.sends.size();
     for (const char* removed : {kKey, kOtherKey}) {
       k.h.AskWithKey("/one/4", removed);
       CPPUNIT_ASSERT(k.h.answers.back().code == ResultCode::kUnknownKey);
     }
-    // No tenant is left, yet keys are needed.
+    // No tenant is left, but keys are still required.
     k.h.SetTenants(std::vector<tenants::Tenant>{});
     k.h.Put(3, Document());
     k.h.AskWithKey("/one/5", "hush-3");
@@ -315,12 +315,12 @@
     CPPUNIT_ASSERT_EQUAL(sent, k.h.sends.size());
   }
 
-  void AKeyThatMovesNamesItsNewTenant() {
-    Keyed k;
+  void MovedKeyNamesItsNewTenant() {
+    KeyedGateway k;
     k.h.SetTenants(std::vector{TenantOf("acme", {}), TenantOf("other", {kKey, kOtherKey})});
     k.h.Put(2, Document());
     k.h.AskWithKey("/one/1", kKey);
-    AssertOf("other", k.h.sends.back());
+    AssertTenant("other", k.h.sends.back());
   }
 
   void RequestsBeforeTheFirstDocumentNeedKeys() {
@@ -337,17 +337,17 @@
     CPPUNIT_ASSERT(h.answers[0].id == unknown);
     CPPUNIT_ASSERT(h.answers[0].code == ResultCode::kUnknownKey);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, h.sends.size());
-    AssertOf("acme", h.sends[0]);
+    AssertTenant("acme", h.sends[0]);
     h.Reply(h.sends[0], query::LeafStatus::kOk, "x");
     CPPUNIT_ASSERT(h.answers.back().id == known);
   }
 
-  /// A gateway that was frozen: its clock goes on at once.
-  static void Freeze(GatewayHarness* h, Duration time) { h->now += time; }
+  /// Simulates a paused process: the clock jumps ahead.
+  static void Pause(GatewayHarness* h, Duration time) { h->now += time; }
 
-  void WhoWakesRefusesNothingThatMayBeNew() {
-    Keyed k;
-    Freeze(&k.h, Seconds(20));
+  void ResumedGatewayHoldsUnknownKeysAndPaths() {
+    KeyedGateway k;
+    Pause(&k.h, Seconds(20));
     const RequestId key = k.h.AskWithKey("/one/1", "hush-3");
     const RequestId path = k.h.AskWithKey("/new/1", kKey);
     const RequestId false_key = k.h.AskWithKey("/one/2", "never");
@@ -356,7 +356,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, k.h.sends.size());
     k.h.Reply(k.h.sends[0], query::LeafStatus::kOk, "x");
     CPPUNIT_ASSERT(k.h.answers.back().id == known);
-    // The news come with the first answer of control.
+    // The new document arrives with the first answer of control.
     k.h.SetTenants(std::vector{TenantOf("acme", {kKey}), TenantOf("new", {"hush-3"})});
     k.h.Put(2, Json::array({{"one", "/one/", true, "s0"}, {"new", "/new/", true, "s1"}}).dump());
     k.h.Prove();
@@ -364,24 +364,24 @@
     CPPUNIT_ASSERT(k.h.answers[1].id == false_key);
     CPPUNIT_ASSERT(k.h.answers[1].code == ResultCode::kUnknownKey);
     CPPUNIT_ASSERT_EQUAL(size_t{3}, k.h.sends.size());
-    AssertOf("new", k.h.sends[1]);
-    AssertOf("acme", k.h.sends[2]);
+    AssertTenant("new", k.h.sends[1]);
+    AssertTenant("acme", k.h.sends[2]);
     for (size_t i = 1; i < 3; ++i) {
       k.h.Reply(k.h.sends[i], query::LeafStatus::kOk, "x");
     }
     CPPUNIT_ASSERT(k.h.answers[2].id == key && k.h.answers[3].id == path);
   }
 
-  void NewsAreTakenWithoutProof() {
-    // The first routes come late, and nothing says how fresh they are.
+  void NewDocumentIsUsedWithoutProof() {
+    // The first routes arrive late, without proof that they are current.
     GatewayHarness h;
     h.Report({GatewayHarness::Leaf("a", "s0")});
-    Freeze(&h, Seconds(20));
+    Pause(&h, Seconds(20));
     h.AskWithKey("/one/1", kKey);
     h.SetTenants(std::vector{TenantOf("acme", {kKey})});
     h.Put(1, Document());
     CPPUNIT_ASSERT_EQUAL(size_t{1}, h.sends.size());
-    // The same for a key that comes.
+    // The same for a key that is added.
     h.AskWithKey("/one/2", "hush-3");
     CPPUNIT_ASSERT_EQUAL(size_t{1}, h.sends.size());
     h.SetTenants(std::vector{TenantOf("acme", {"hush-3"})});
@@ -390,14 +390,14 @@
     CPPUNIT_ASSERT(h.answers.empty());
   }
 
-  void WithoutProofTheUnknownIsToldToGoElsewhere() {
-    Keyed k;
-    Freeze(&k.h, Seconds(20));
+  void WithoutProofUnknownRequestsGetStaleConfiguration() {
+    KeyedGateway k;
+    Pause(&k.h, Seconds(20));
     k.h.AskWithKey("/one/1", "hush-3", Milliseconds(600));
     k.h.AskWithKey("/new/1", kKey, Seconds(5));
     k.h.Pass(Milliseconds(290));
     CPPUNIT_ASSERT(k.h.answers.empty());
-    // After half of its patience; the other after a second.
+    // The first is refused after half of its deadline, the other one after a second.
     k.h.Pass(Milliseconds(20));
     CPPUNIT_ASSERT_EQUAL(size_t{1}, k.h.answers.size());
     k.h.Pass(Milliseconds(700));
@@ -410,19 +410,19 @@
     CPPUNIT_ASSERT(k.h.sends.empty());
   }
 
-  void WithoutAKeyNothingWaitsForProof() {
-    Keyed k;
-    Freeze(&k.h, Seconds(20));
+  void RequestsWithoutAKeyDoNotWaitForProof() {
+    KeyedGateway k;
+    Pause(&k.h, Seconds(20));
     k.h.AskWithKey("/one/1", "");
     CPPUNIT_ASSERT_EQUAL(size_t{1}, k.h.answers.size());
     CPPUNIT_ASSERT(k.h.answers[0].code == ResultCode::kUnknownKey);
   }
 
-  void UnprovenRequestsAreBoundedAndMayLeave() {
+  void HeldRequestsAreBoundedAndCancellable() {
     GatewayOptions options = GatewayHarness::Options();
     options.knobs.max_in_progress = 2;
-    Keyed k(options);
-    Freeze(&k.h, Seconds(20));
+    KeyedGateway k(options);
+    Pause(&k.h, Seconds(20));
     const RequestId left = k.h.AskWithKey("/one/1", "hush-3");
     k.h.AskWithKey("/one/2", "hush-4");
     k.h.AskWithKey("/one/3", "hush-5");
@@ -436,20 +436,20 @@
     CPPUNIT_ASSERT(k.h.server.Drained());
   }
 
-  void TenantsPriorityGoesBeforeTheRoutes() {
+  void TenantsPriorityOverridesTheRoutes() {
     KeyedSharing k;
     tenants::Tenant urgent = TenantOf("urgent", {"hush-3"});
     urgent.priority = 7;
     k.h.SetTenants(std::vector{TenantOf("acme", {kKey}), urgent});
     k.h.Put(2, SharedDocument());
     k.h.AskWithKey("/all/1", "hush-3");
-    for (const wire::PartialQuery& question : k.Questions()) {
-      CPPUNIT_ASSERT_EQUAL(7U, question.priority);
+    for (const wire::PartialQuery& query : k.PartialQueries()) {
+      CPPUNIT_ASSERT_EQUAL(7U, query.priority);
     }
     k.h.peer_messages.clear();
     k.h.AskWithKey("/all/2", kKey);
-    for (const wire::PartialQuery& question : k.Questions()) {
-      CPPUNIT_ASSERT_EQUAL(0U, question.priority);
+    for (const wire::PartialQuery& query : k.PartialQueries()) {
+      CPPUNIT_ASSERT_EQUAL(0U, query.priority);
     }
   }
 
@@ -469,8 +469,8 @@
     return {TenantOf("acme", {kKey}), eastern};
   }
 
-  void HomesOfTenantsBind() {
-    Keyed k(TwoRegions());
+  void AllowedRegionsOfTenantsApply() {
+    KeyedGateway k(TwoRegions());
     k.h.SetTenants(Eastern());
     k.h.Put(2, Document());
     k.h.Report({GatewayHarness::Leaf("a", "s0"), Far("f", "s0")});
@@ -484,14 +484,14 @@
       free.insert(k.h.sends.back().leaf);
       k.h.Reply(k.h.sends.back(), query::LeafStatus::kOk, "x");
     }
-    // Nobody else is bound.
+    // Other tenants are not restricted.
     CPPUNIT_ASSERT(free.contains("a"));
   }
 
-  void HomesOfRouteAndTenantBothBind() {
-    Keyed k(TwoRegions());
+  void AllowedRegionsOfRouteAndTenantBothApply() {
+    KeyedGateway k(TwoRegions());
     k.h.SetTenants(Eastern());
-    k.h.SetHomes({"west"});
+    k.h.SetAllowedRegions({"west"});
     k.h.Put(2, Document());
     k.h.Report({GatewayHarness::Leaf("a", "s0"), Far("f", "s0")});
     k.h.Pass(Milliseconds(200));
@@ -499,22 +499,22 @@
     CPPUNIT_ASSERT(k.h.sends.empty());
     CPPUNIT_ASSERT(k.h.answers.back().code == ResultCode::kCoverageNotReached);
     CPPUNIT_ASSERT(k.h.answers.back().run == query::RunState::kNotRun);
-    k.h.SetHomes({"west", "east"});
+    k.h.SetAllowedRegions({"west", "east"});
     k.h.Put(3, Document());
     k.h.AskWithKey("/one/2", kOtherKey);
     CPPUNIT_ASSERT_EQUAL(std::string("f"), k.h.sends.back().leaf);
   }
 
-  void MergersAreToldTheHomesOfTenants() {
+  void PartialQueriesNameTheTenantsRegions() {
     KeyedSharing k;
     tenants::Tenant bound = TenantOf("bound", {kKey});
     bound.homes = {""};
     k.h.SetTenants(std::vector{bound});
     k.h.Put(2, SharedDocument());
     k.h.AskWithKey("/all/1", kKey);
-    CPPUNIT_ASSERT(!k.Questions().empty());
-    for (const wire::PartialQuery& question : k.Questions()) {
-      CPPUNIT_ASSERT(question.homes == std::vector<std::string>{""});
+    CPPUNIT_ASSERT(!k.PartialQueries().empty());
+    for (const wire::PartialQuery& query : k.PartialQueries()) {
+      CPPUNIT_ASSERT(query.homes == std::vector<std::string>{""});
     }
   }
 };
--- a/test/gateway/gateway_urgency_test.cc
+++ b/test/gateway/gateway_urgency_test.cc
@@ -1,4 +1,4 @@
-// Tight aims and urgent kinds at a gateway, without sockets.
+// Tight objectives and priorities at a gateway, without sockets.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <algorithm>
@@ -14,12 +14,13 @@
 namespace {
 
 constexpr size_t kShards = 90;
-/// What the harness's routes allow.
+/// Objective and time-out of the harness's routes.
 constexpr Duration kObjective = Milliseconds(100);
-constexpr Duration kPatience = Seconds(2);
-/// A part that comes then came too late before: answers went out after 87 ms.
-constexpr Duration kLatePart = Milliseconds(88);
-/// The longest time that one turn of the loop takes beyond a due moment here.
+constexpr Duration kClientTimeout = Seconds(2);
+/// A shard result at this time was too late for the default margin, with which answers leave after
+/// 87 ms.
+constexpr Duration kLateResult = Milliseconds(88);
+/// Resolution of the test's event loop.
 constexpr Duration kStep = Milliseconds(1);
 
 std::string Service(size_t i) { return "s" + std::to_string(i); }
@@ -50,124 +51,126 @@
     return options;
   }
 
-  void Ask(Duration round_trip, Duration patience = kPatience) {
-    questions.clear();
+  void Ask(Duration round_trip, Duration client_deadline = kClientTimeout) {
+    queries.clear();
     h.peer_messages.clear();
     h.answers.clear();
     auto request = std::make_shared<PayloadRequest>();
-    request->request_id = "r" + std::to_string(++asked);
+    request->request_id = "r" + std::to_string(++request_count);
     request->method = "GET";
-    request->target = "/all/" + std::to_string(asked);
+    request->target = "/all/" + std::to_string(request_count);
     request->host = kHost;
-    request->deadline = patience;
+    request->deadline = client_deadline;
     request->round_trip = round_trip;
-    began = h.now;
-    h.server.OnRequest(h.now, RequestId{1000 + asked}, std::move(request), h.now);
+    started = h.now;
+    h.server.OnRequest(h.now, RequestId{1000 + request_count}, std::move(request), h.now);
     h.Take();
     for (const PeerMessage& message : h.peer_messages) {
       if (const auto* query = std::get_if<wire::PartialQuery>(&message.envelope.body)) {
-        questions.push_back(*query);
+        queries.push_back(*query);
         addresses.push_back(message.address);
       }
     }
   }
-  /// All shards of a group but the first `missing` ones are in.
-  void Word(size_t group, uint32_t missing) {
-    const wire::PartialQuery& question = questions.at(group);
-    wire::PartialAnswer word;
-    word.id = question.id;
-    word.stage = missing == 0 ? wire::PartialStage::kDone : wire::PartialStage::kParts;
-    for (uint32_t i = missing; i < question.shards.size(); ++i) {
-      word.parts.push_back({i, "sig"});
+  /// Sends the results of all shards of a group but the first `missing` ones.
+  void SendAnswer(size_t group, uint32_t missing) {
+    const wire::PartialQuery& query = queries.at(group);
+    wire::PartialAnswer answer;
+    answer.id = query.id;
+    answer.stage = missing == 0 ? wire::PartialStage::kDone : wire::PartialStage::kParts;
+    for (uint32_t i = missing; i < query.shards.size(); ++i) {
+      answer.parts.push_back({i, "sig"});
     }
-    word.records = std::string(kRecordBytes, 'a');
-    h.server.OnPeerWord(h.now, addresses.at(group), {"test", 1, word});
+    answer.records = std::string(kRecordBytes, 'a');
+    h.server.OnPeerWord(h.now, addresses.at(group), {"test", 1, answer});
     h.Take();
   }
-  /// Two shards of the first group come late or not at all. @return when the answer goes out, since
-  /// the request came.
-  Duration AnswerWithoutTwo(Duration round_trip, Duration lag, Duration patience = kPatience,
+  /// Runs a request for which two shards of the first group are late or missing.
+  /// @return the time from the request's arrival to its answer.
+  Duration AnswerWithoutTwo(Duration round_trip, Duration lag,
+                            Duration client_deadline = kClientTimeout,
                             std::optional<Duration> late = std::nullopt) {
-    Ask(round_trip, patience);
+    Ask(round_trip, client_deadline);
     h.Pass(Milliseconds(20));
-    for (size_t i = 0; i < questions.size(); ++i) {
-      Word(i, i == 0 ? 2 : 0);
+    for (size_t i = 0; i < queries.size(); ++i) {
+      SendAnswer(i, i == 0 ? 2 : 0);
     }
-    while (h.answers.empty() && h.now < began + Seconds(3)) {
+    while (h.answers.empty() && h.now < started + Seconds(3)) {
       h.Pass(kStep);
-      if (h.answers.empty() && late.has_value() && h.now >= began + *late) {
-        Word(0, 0);
+      if (h.answers.empty() && late.has_value() && h.now >= started + *late) {
+        SendAnswer(0, 0);
       }
     }
-    const Duration took = h.now - began;
+    const Duration took = h.now - started;
     CPPUNIT_ASSERT_EQUAL(size_t{1}, h.answers.size());
     h.server.OnAnswerWritten(h.now + lag, h.answers[0].trace);
     return took;
   }
-  /// The same without them after enough answers with this lag, to half of which they came.
+  /// As AnswerWithoutTwo() without the late results, after enough answers with this lag, half of
+  /// which included them.
   Duration Learn(Duration round_trip, Duration lag) {
     for (int i = 0; i < 100; ++i) {
-      const std::optional<Duration> late = i % 2 == 0 ? std::optional(kLatePart) : std::nullopt;
-      AnswerWithoutTwo(round_trip, lag, kPatience, late);
+      const std::optional<Duration> late = i % 2 == 0 ? std::optional(kLateResult) : std::nullopt;
+      AnswerWithoutTwo(round_trip, lag, kClientTimeout, late);
     }
     return AnswerWithoutTwo(round_trip, lag);
   }
 
   GatewayHarness h;
-  Timestamp began{};
-  std::vector<wire::PartialQuery> questions;
+  Timestamp started{};
+  std::vector<wire::PartialQuery> queries;
   std::vector<std::string> addresses;
-  uint64_t asked = 0;
+  uint64_t request_count = 0;
 };
 
 }  // namespace
 
 class GatewayUrgencyTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GatewayUrgencyTest);
-  CPPUNIT_TEST(WithoutARoundTripTheMarginIsAsBefore);
-  CPPUNIT_TEST(KnownWayAndSmallLagLeaveMoreTime);
-  CPPUNIT_TEST(LargeLagIsLearnt);
-  CPPUNIT_TEST(WhatTheClientSpentIsOff);
+  CPPUNIT_TEST(WithoutARoundTripTheFixedMarginApplies);
+  CPPUNIT_TEST(KnownRoundTripAndSmallLagLeaveMoreTime);
+  CPPUNIT_TEST(LargeLagIsLearned);
+  CPPUNIT_TEST(TimeSpentByTheClientIsDeducted);
   CPPUNIT_TEST(UrgentRequestsAreSentFirst);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void WithoutARoundTripTheMarginIsAsBefore() {
+  void WithoutARoundTripTheFixedMarginApplies() {
     Root root;
     const GatewayKnobs knobs;
-    const Duration words = TimeForWords(6, 0.12, knobs.sharing_costs);
+    const Duration processing = TimeForPartialAnswers(6, 0.12, knobs.sharing_costs);
     const Duration took = root.AnswerWithoutTwo(Duration(0), Milliseconds(1));
-    CPPUNIT_ASSERT(took >= kObjective - knobs.way_margin - words - kStep);
-    CPPUNIT_ASSERT(took <= kObjective - knobs.way_margin);
+    CPPUNIT_ASSERT(took >= kObjective - knobs.network_margin - processing - kStep);
+    CPPUNIT_ASSERT(took <= kObjective - knobs.network_margin);
   }
 
-  /// The client is 3 ms away and answers leave within 1 ms.
-  void KnownWayAndSmallLagLeaveMoreTime() {
+  /// The latency to the client is 3 ms, and answers are written within 1 ms.
+  void KnownRoundTripAndSmallLagLeaveMoreTime() {
     Root root;
     const Duration took = root.Learn(Milliseconds(6), Milliseconds(1));
-    CPPUNIT_ASSERT(took >= kLatePart);
+    CPPUNIT_ASSERT(took >= kLateResult);
     CPPUNIT_ASSERT(took + Milliseconds(6) + Milliseconds(1) <= kObjective + kStep);
   }
 
-  /// Ten times as much and more: the loop is late with everything.
-  void LargeLagIsLearnt() {
+  /// More than ten times that lag: the event loop is overloaded.
+  void LargeLagIsLearned() {
     Root root;
     const Duration lag = Milliseconds(30);
     const Duration took = root.Learn(Milliseconds(6), lag);
     CPPUNIT_ASSERT(took + Milliseconds(6) + lag <= kObjective + kStep);
   }
 
-  void WhatTheClientSpentIsOff() {
+  void TimeSpentByTheClientIsDeducted() {
     Root root;
     const Duration usual = root.Learn(Milliseconds(6), Milliseconds(1));
     const Duration spent = Milliseconds(15);
     const Duration took =
-        root.AnswerWithoutTwo(Milliseconds(6), Milliseconds(1), kPatience - spent);
+        root.AnswerWithoutTwo(Milliseconds(6), Milliseconds(1), kClientTimeout - spent);
     CPPUNIT_ASSERT(took <= usual - spent + 3 * kStep);
   }
 
-  /// A merger has questions of two kinds: what it sends for the urgent one is ahead of what it was
-  /// asked for before.
+  /// A merger has queries of several priorities: its sub-requests for the most urgent one precede
+  /// those of queries that arrived before.
   void UrgentRequestsAreSentFirst() {
     Root root;
     for (const uint32_t priority : {4, 0, 2}) {
--- a/test/gateway/gateway_zones_test.cc
+++ b/test/gateway/gateway_zones_test.cc
@@ -1,4 +1,4 @@
-// What a gateway sends to leafs of evacuated zones (nothing) and to cold ones (their share).
+// Requests to leafs of evacuated zones (none) and to cold leafs (a limited share).
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <memory>
@@ -34,31 +34,31 @@
 class GatewayZonesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GatewayZonesTest);
   CPPUNIT_TEST(NothingGoesToAnEvacuatedZone);
-  CPPUNIT_TEST(RequestThatRunsIsNotSentOnIntoTheZone);
+  CPPUNIT_TEST(RunningRequestIsNotRetriedInTheZone);
   CPPUNIT_TEST(MergerSendsNothingIntoTheZone);
-  CPPUNIT_TEST(LeafsAreNamedWhoseUnsentCallsMustEnd);
-  CPPUNIT_TEST(WithoutALeafLeftItIsRefusedAtOnce);
-  CPPUNIT_TEST(GatherAnswersWithTheShardsThatAreLeft);
-  CPPUNIT_TEST(ZoneThatIsTakenBackServesAgain);
-  CPPUNIT_TEST(ColdLeafIsNotFloodedByAllGatewaysTogether);
-  CPPUNIT_TEST(ColdShardIsNotFloodedByItsMergers);
-  CPPUNIT_TEST(LeafsOfAZoneTakenBackCountAsCold);
-  CPPUNIT_TEST(RequestsStayInTheirHomes);
-  CPPUNIT_TEST(QuestionsGoToMergersAtHomeAndNameTheHomes);
-  CPPUNIT_TEST(MergerAsksLeafsOfTheNamedHomesOnly);
+  CPPUNIT_TEST(ClosedLeafsAreReported);
+  CPPUNIT_TEST(WithoutAUsableLeafRequestsAreRefusedAtOnce);
+  CPPUNIT_TEST(GatherAnswersWithTheRemainingShards);
+  CPPUNIT_TEST(RestoredZoneServesAgain);
+  CPPUNIT_TEST(ColdLeafIsNotOverloadedByAllGatewaysTogether);
+  CPPUNIT_TEST(ColdShardIsNotOverloadedByItsMergers);
+  CPPUNIT_TEST(LeafsOfARestoredZoneCountAsCold);
+  CPPUNIT_TEST(RequestsStayInAllowedRegions);
+  CPPUNIT_TEST(PartialQueriesGoToAllowedRegionsAndNameThem);
+  CPPUNIT_TEST(MergerUsesLeafsOfAllowedRegionsOnly);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  /// Two zones of the west, one of the east.
+  /// Two zones in the region west, one in the region east.
   static GatewayOptions TwoRegions() {
     GatewayOptions options = OptionsOf("g1");
     options.regions = RegionMap({{"north", "west"}, {"south", "west"}, {"far", "east"}});
     return options;
   }
 
-  void RequestsStayInTheirHomes() {
+  void RequestsStayInAllowedRegions() {
     GatewayHarness h(TwoRegions());
-    h.SetHomes({"east"});
+    h.SetAllowedRegions({"east"});
     h.Put(1, OneService());
     h.Report({LeafIn("north", "n", "s0"), LeafIn("far", "f", "s0")});
     for (int i = 0; i < 20; ++i) {
@@ -66,8 +66,8 @@
       CPPUNIT_ASSERT_EQUAL(std::string("f"), h.sends.back().leaf);
       h.Reply(h.sends.back(), query::LeafStatus::kOk, "x");
     }
-    // With no leaf at home it is refused, not sent elsewhere.
-    h.SetHomes({"south-east"});
+    // Without a leaf in an allowed region the request is refused, not sent elsewhere.
+    h.SetAllowedRegions({"south-east"});
     h.Put(2, OneService());
     const size_t sent = h.sends.size();
     h.Ask("/one/1");
@@ -75,11 +75,11 @@
     CPPUNIT_ASSERT(h.answers.back().run == query::RunState::kNotRun);
   }
 
-  void QuestionsGoToMergersAtHomeAndNameTheHomes() {
+  void PartialQueriesGoToAllowedRegionsAndNameThem() {
     GatewayOptions options = TwoRegions();
     options.processor_share = 0.12;
     GatewayHarness h(options);
-    h.SetHomes({"east"});
+    h.SetAllowedRegions({"east"});
     Json route = {"all", "/all/", true};
     std::vector<wire::LeafRecord> leafs;
     for (size_t i = 0; i < kShards; ++i) {
@@ -108,7 +108,7 @@
     }
   }
 
-  void MergerAsksLeafsOfTheNamedHomesOnly() {
+  void MergerUsesLeafsOfAllowedRegionsOnly() {
     GatewayHarness h(TwoRegions());
     h.Put(1, TwoShards());
     h.Report({LeafIn("north", "a0", "s0"), LeafIn("far", "b0", "s0"), LeafIn("north", "a1", "s1")});
@@ -137,7 +137,7 @@
     }
   }
 
-  void RequestThatRunsIsNotSentOnIntoTheZone() {
+  void RunningRequestIsNotRetriedInTheZone() {
     GatewayHarness h(OptionsOf("g1"));
     h.Put(1, TwoShards());
     h.Report(
@@ -146,7 +146,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{2}, h.sends.size());
     h.Evacuate("north");
     h.Evacuate("south");
-    // Neither hedges nor retries: all that is left lies in the two zones.
+    // Neither hedges nor retries: all other leafs are in the two zones.
     h.Reply(h.sends[0], query::LeafStatus::kShed);
     h.Pass(Milliseconds(400));
     CPPUNIT_ASSERT_EQUAL(size_t{2}, h.sends.size());
@@ -172,7 +172,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("b0"), h.sends[0].leaf);
   }
 
-  void LeafsAreNamedWhoseUnsentCallsMustEnd() {
+  void ClosedLeafsAreReported() {
     GatewayHarness h(OptionsOf("g1"));
     h.Put(1, OneService());
     h.Report({LeafIn("north", "n", "s0"), LeafIn("south", "s", "s0")});
@@ -182,7 +182,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("s"), h.closed_leafs.back());
   }
 
-  void WithoutALeafLeftItIsRefusedAtOnce() {
+  void WithoutAUsableLeafRequestsAreRefusedAtOnce() {
     GatewayHarness h(OptionsOf("g1"));
     h.Put(1, OneService());
     h.Report({LeafIn("north", "n", "s0")});
@@ -194,7 +194,7 @@
     CPPUNIT_ASSERT(h.answers[0].retry_after > Duration(0));
   }
 
-  void GatherAnswersWithTheShardsThatAreLeft() {
+  void GatherAnswersWithTheRemainingShards() {
     GatewayHarness h(OptionsOf("g1"));
     h.Put(1, TwoShards());
     h.Report({LeafIn("north", "a0", "s0"), LeafIn("south", "b1", "s1")});
@@ -207,7 +207,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, h.answers[0].missing_shards);
   }
 
-  void ZoneThatIsTakenBackServesAgain() {
+  void RestoredZoneServesAgain() {
     GatewayHarness h(OptionsOf("g1"));
     h.Put(1, OneService());
     h.Report({LeafIn("north", "n", "s0")});
@@ -217,9 +217,9 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, h.sends.size());
   }
 
-  void ColdLeafIsNotFloodedByAllGatewaysTogether() {
+  void ColdLeafIsNotOverloadedByAllGatewaysTogether() {
     constexpr int kGateways = 40;
-    constexpr double kBorne = 6;
+    constexpr double kColdRate = 6;
     std::vector<wire::GatewayRecord> peers;
     for (int i = 0; i < kGateways; ++i) {
       const std::string node = "g" + std::to_string(i);
@@ -229,7 +229,7 @@
     std::vector<std::unique_ptr<GatewayHarness>> fleet;
     for (const wire::GatewayRecord& peer : peers) {
       auto h = std::make_unique<GatewayHarness>(OptionsOf(peer.node));
-      h->SetColdRequestsPerSecond(kBorne);
+      h->SetColdRequestsPerSecond(kColdRate);
       h->Put(1, OneService());
       h->Peers(peers);
       wire::LeafRecord cold = LeafIn("north", "n", "s0");
@@ -247,12 +247,12 @@
         }
       }
     }
-    // Two seconds: less than what the leaf bears, but not nothing.
-    CPPUNIT_ASSERT(sent <= static_cast<size_t>(2 * kBorne));
+    // Within two seconds, fewer requests than the leaf can take, but some.
+    CPPUNIT_ASSERT(sent <= static_cast<size_t>(2 * kColdRate));
     CPPUNIT_ASSERT(sent >= 4);
   }
 
-  void ColdShardIsNotFloodedByItsMergers() {
+  void ColdShardIsNotOverloadedByItsMergers() {
     Json route = {"all", "/all/", true};
     std::vector<wire::LeafRecord> leafs;
     for (size_t i = 0; i < kShards; ++i) {
@@ -275,7 +275,7 @@
       h.Peers(peers);
       h.Report(leafs);
       h.Take();
-      // Every gateway is asked for every shard, all the time.
+      // Every gateway continuously receives queries over all shards.
       for (uint64_t step = 0; step < 50; ++step) {
         h.Pass(Milliseconds(20));
         wire::PartialQuery query;
@@ -302,7 +302,7 @@
     }
   }
 
-  void LeafsOfAZoneTakenBackCountAsCold() {
+  void LeafsOfARestoredZoneCountAsCold() {
     GatewayHarness h(OptionsOf("g1"));
     h.SetColdRequestsPerSecond(1);
     h.Put(1, OneService());
--- a/test/gateway/leaf_view_lives_test.cc
+++ b/test/gateway/leaf_view_lives_test.cc
@@ -1,4 +1,4 @@
-// A gateway keeps the lives of a leaf apart, whoever tells of which.
+// A gateway keeps the incarnations of a leaf apart, whichever control machine reports them.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "gateway/leaf_view.h"
@@ -23,16 +23,16 @@
 
 class LeafViewLivesTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LeafViewLivesTest);
-  CPPUNIT_TEST(DrainingOfAFormerLifeElsewhereDoesNotBind);
-  CPPUNIT_TEST(LateWordOfAFormerLifeClosesNothing);
-  CPPUNIT_TEST(RetiredLifeDoesNotBindTheNext);
-  CPPUNIT_TEST(CommittedFormerLifeYieldsToTheReportedOne);
-  CPPUNIT_TEST(ColdnessIsOfOneLife);
-  CPPUNIT_TEST(PoolForgetsWhatItLearnedOfTheFormerLife);
+  CPPUNIT_TEST(DrainingOfAPreviousIncarnationDoesNotApply);
+  CPPUNIT_TEST(LateReportOfAPreviousIncarnationClosesNothing);
+  CPPUNIT_TEST(RetirementAppliesToOneIncarnation);
+  CPPUNIT_TEST(CommittedPreviousIncarnationYieldsToTheReportedOne);
+  CPPUNIT_TEST(ColdnessAppliesToOneIncarnation);
+  CPPUNIT_TEST(PoolDropsStateOfThePreviousIncarnation);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void DrainingOfAFormerLifeElsewhereDoesNotBind() {
+  void DrainingOfAPreviousIncarnationDoesNotApply() {
     LeafView view({});
     view.OnFeed(kStart, "c1", Full(1, {Record(1000, true)}));
     CPPUNIT_ASSERT(!Usable(view));
@@ -40,7 +40,7 @@
     CPPUNIT_ASSERT(Usable(view));
   }
 
-  void LateWordOfAFormerLifeClosesNothing() {
+  void LateReportOfAPreviousIncarnationClosesNothing() {
     LeafView view({});
     view.OnFeed(kStart, "c2", Full(1, {Record(2000)}));
     view.OnFeed(kStart, "c1", Full(1, {Record(1000, true)}));
@@ -50,7 +50,7 @@
     CPPUNIT_ASSERT(!Usable(view));
   }
 
-  void RetiredLifeDoesNotBindTheNext() {
+  void RetirementAppliesToOneIncarnation() {
     config::ConfigState committed;
     LeafView view({}, &committed);
     config::Change change;
@@ -61,7 +61,7 @@
     view.OnFeed(kStart, "c1", Full(1, {Record(2000)}));
     view.OnCommitted(kStart, {"a"});
     CPPUNIT_ASSERT(Usable(view));
-    view.OnCommittedAnew(kStart);
+    view.OnCommittedReset(kStart);
     CPPUNIT_ASSERT(Usable(view));
     change.born_ms = 2000;
     committed.Apply(change);
@@ -69,14 +69,14 @@
     CPPUNIT_ASSERT(!Usable(view));
   }
 
-  void CommittedFormerLifeYieldsToTheReportedOne() {
+  void CommittedPreviousIncarnationYieldsToTheReportedOne() {
     config::ConfigState committed;
     config::Change change;
     change.kind = config::ChangeKind::kReportLeafs;
     change.reported = {{"a", "desk", "10.0.0.1:80", "north", 2, 7, 1000}};
     committed.Apply(change);
     LeafView view({}, &committed);
-    view.OnCommittedAnew(kStart);
+    view.OnCommittedReset(kStart);
     CPPUNIT_ASSERT_EQUAL(uint64_t{1000}, view.leafs().at("a").born_ms);
     wire::LeafRecord moved = Record(2000);
     moved.address = "10.0.0.2:80";
@@ -84,7 +84,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("10.0.0.2:80"), view.leafs().at("a").address);
   }
 
-  void ColdnessIsOfOneLife() {
+  void ColdnessAppliesToOneIncarnation() {
     LeafView view({});
     wire::LeafRecord cold = Record(1000);
     cold.cold_milliseconds = 60000;
@@ -94,16 +94,16 @@
     CPPUNIT_ASSERT(!view.cold_until().contains("a"));
   }
 
-  void PoolForgetsWhatItLearnedOfTheFormerLife() {
+  void PoolDropsStateOfThePreviousIncarnation() {
     LeafView view({});
     balance::LeafPool pool({}, 1);
-    PoolKeeper keeper("g1", "north", &pool);
+    PoolKeeper pool_updater("g1", "north", &pool);
     view.OnFeed(kStart, "c1", Full(1, {Record(1000)}));
-    keeper.Sync(kStart, view, view.TakeChanges(), {nullptr, 1});
+    pool_updater.Sync(kStart, view, view.TakeChanges(), {nullptr, 1});
     pool.OnHealth(kStart, "a", /*draining=*/true);
     CPPUNIT_ASSERT(pool.AvailabilityOf("a", kStart) == balance::Availability::kLeaving);
     view.OnFeed(kStart, "c1", Full(2, {Record(2000)}));
-    keeper.Sync(kStart, view, view.TakeChanges(), {nullptr, 1});
+    pool_updater.Sync(kStart, view, view.TakeChanges(), {nullptr, 1});
     CPPUNIT_ASSERT(pool.AvailabilityOf("a", kStart) == balance::Availability::kReady);
   }
 };
--- a/test/gateway/leaf_view_property_test.cc
+++ b/test/gateway/leaf_view_property_test.cc
@@ -1,5 +1,5 @@
-// Random histories of what control machines say and what is committed: the view, which judges only
-// leafs of which something has changed, believes what judging all of them from scratch gives.
+// Random histories of reports and commits. The view, which evaluates only changed leafs, must equal
+// the result of evaluating all leafs from scratch.
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
 
@@ -11,11 +11,11 @@
 namespace pumicedyke::gateway {
 namespace {
 
-constexpr Duration kPatience = Seconds(8);
+constexpr Duration kUnconfirmedTimeout = Seconds(8);
 constexpr int kLeafs = 6;
 constexpr int kAddresses = 3;
 
-/// What one control machine said.
+/// State reported by one control machine.
 struct Source {
   uint64_t version = 0;
   std::map<std::string, wire::LeafRecord> records;
@@ -25,7 +25,7 @@
 
 class History {
  public:
-  History() : view_({.unconfirmed_patience = kPatience}, &committed_) {}
+  History() : view_({.unconfirmed_timeout = kUnconfirmedTimeout}, &committed_) {}
 
   void Step() {
     now_ += Milliseconds(*rc::gen::element(0, 50, 1000, 9000));
@@ -51,14 +51,14 @@
         break;
     }
     view_.Tick(now_);
-    ForgetUnconfirmed();
+    DropUnconfirmed();
     Check();
   }
 
  private:
   static std::string AnyLeaf() { return "leaf" + std::to_string(*rc::gen::inRange(0, kLeafs)); }
 
-  /// A leaf keeps its address and zone for life; two leafs may have the same address.
+  /// A leaf never changes its address and zone; two leafs may have the same address.
   static wire::LeafRecord Record(const std::string& leaf) {
     const int number = leaf.back() - '0';
     return {leaf,
@@ -79,7 +79,7 @@
     feed.version = ++source.version;
     if (full) {
       source.unconfirmed.merge(source.records);
-      source.unconfirmed_until = now_ + kPatience;
+      source.unconfirmed_until = now_ + kUnconfirmedTimeout;
       source.records.clear();
     }
     for (int i = *rc::gen::inRange(0, 3); i > 0; --i) {
@@ -103,7 +103,7 @@
     change.kind = kind;
     change.reported = {{record.leaf, record.service, record.address, record.zone, 2, 1}};
     committed_.Apply(change);
-    Tell(record.leaf);
+    NotifyView(record.leaf);
   }
 
   void Retire() {
@@ -111,12 +111,12 @@
     change.kind = config::ChangeKind::kRetireLeaf;
     change.leaf = AnyLeaf();
     committed_.Apply(change);
-    Tell(change.leaf);
+    NotifyView(change.leaf);
   }
 
-  void Tell(const std::string& leaf) {
+  void NotifyView(const std::string& leaf) {
     if (*rc::gen::inRange(0, 4) == 0) {
-      view_.OnCommittedAnew(now_);
+      view_.OnCommittedReset(now_);
     } else {
       view_.OnCommitted(now_, {leaf});
     }
@@ -127,7 +127,7 @@
     view_.SetEvacuated(now_, evacuated_);
   }
 
-  void ForgetUnconfirmed() {
+  void DropUnconfirmed() {
     for (auto& [name, source] : sources_) {
       if (now_ >= source.unconfirmed_until) {
         source.unconfirmed.clear();
@@ -135,7 +135,7 @@
     }
   }
 
-  /// All words on all leafs, from scratch.
+  /// Combines all reports on all leafs from scratch.
   std::map<std::string, wire::LeafRecord> Expected() const {
     std::map<std::string, wire::LeafRecord> leafs;
     std::set<std::string> reporting;
@@ -150,15 +150,15 @@
         }
       }
     }
-    std::set<std::string> taken;
+    std::set<std::string> used_addresses;
     for (auto& [id, record] : leafs) {
       record.draining |= committed_.retired().contains(id);
       if (reporting.contains(id)) {
-        taken.insert(record.address);
+        used_addresses.insert(record.address);
       }
     }
     std::erase_if(leafs, [&](const auto& item) {
-      return !reporting.contains(item.first) && taken.contains(item.second.address);
+      return !reporting.contains(item.first) && used_addresses.contains(item.second.address);
     });
     return leafs;
   }
@@ -174,7 +174,7 @@
     }
     RC_ASSERT(view_.UsableLeafs("desk") == usable);
     RC_ASSERT(view_.usable_count() == usable.size());
-    // Whoever follows the changes ends with the same leafs.
+    // Applying the reported changes yields the same leafs.
     for (const LeafChange& change : view_.TakeChanges()) {
       const auto known = view_.leafs().find(change.leaf);
       if (known == view_.leafs().end()) {
@@ -198,11 +198,11 @@
 
 class LeafViewPropertyTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LeafViewPropertyTest);
-  CPPUNIT_TEST(JudgingWhatChangedIsJudgingAll);
+  CPPUNIT_TEST(IncrementalEvaluationEqualsFullEvaluation);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void JudgingWhatChangedIsJudgingAll() {
+  void IncrementalEvaluationEqualsFullEvaluation() {
     CPPUNIT_ASSERT(rc::check("leaf view", [] {
       History history;
       const int steps = *rc::gen::inRange(1, 40);
--- a/test/gateway/leaf_view_test.cc
+++ b/test/gateway/leaf_view_test.cc
@@ -1,4 +1,5 @@
-// The leafs that a gateway may use, by word of several control machines that come and go.
+// The leafs that a gateway may use, as reported by several control machines that connect and
+// disconnect.
 #include "gateway/leaf_view.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -43,18 +44,18 @@
 
 class LeafViewTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LeafViewTest);
-  CPPUNIT_TEST(AnyWordOfLeavingIsEnough);
+  CPPUNIT_TEST(DrainingReportedByAnySourceCounts);
   CPPUNIT_TEST(RetiredLeafIsNotUsable);
-  CPPUNIT_TEST(GapInChangesIsNoticed);
-  CPPUNIT_TEST(RestartedSourceForgetsNothingAtOnce);
-  CPPUNIT_TEST(LostSourceCountsOnWhileNobodyElseReports);
-  CPPUNIT_TEST(LeafReportedElsewhereSurvivesItsOldSource);
+  CPPUNIT_TEST(GapInUpdatesIsDetected);
+  CPPUNIT_TEST(LeafsOfARestartedSourceStayUsableAtFirst);
+  CPPUNIT_TEST(LostSourceCountsWhileNoOtherSourceReports);
+  CPPUNIT_TEST(LeafReportedElsewhereOutlivesItsOldSource);
   CPPUNIT_TEST(CommittedLeafsAreUsableBeforeAnyReport);
-  CPPUNIT_TEST(ReportsOfACrowdTakeEffectTogether);
-  CPPUNIT_TEST(KnownLeafsThatReportAnewChangeNothing);
+  CPPUNIT_TEST(ManyReportsTakeEffectTogether);
+  CPPUNIT_TEST(RepeatedReportsOfKnownLeafsChangeNothing);
   CPPUNIT_TEST(LeafsOfAnEvacuatedZoneAreClosedUntilItIsRestored);
   CPPUNIT_TEST(LeafThatIsOnlyCommittedYieldsItsAddress);
-  CPPUNIT_TEST(ColdWordOfAnySourceCounts);
+  CPPUNIT_TEST(ColdReportOfAnySourceCounts);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -67,7 +68,7 @@
     CPPUNIT_ASSERT(view.UsableLeafs("desk") == std::vector<std::string>{"n"});
     CPPUNIT_ASSERT(view.IsLeaving("s"));
     CPPUNIT_ASSERT(view.TakeNewlyLeaving() == std::vector<std::string>{"s"});
-    // A leaf that comes meanwhile is closed, too.
+    // A leaf added meanwhile is closed, too.
     wire::LeafRecord other = Record("t");
     other.zone = "south";
     view.OnFeed(kStart + Seconds(1), "c1", Full(2, {Record("n"), south, other}));
@@ -80,13 +81,13 @@
   void LeafThatIsOnlyCommittedYieldsItsAddress() {
     config::ConfigState committed = Committed({{"ended", "desk", "x:80", "north", 2, 1}});
     LeafView view({}, &committed);
-    view.OnCommittedAnew(kStart);
+    view.OnCommittedReset(kStart);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, view.UsableLeafs("desk").size());
-    wire::LeafRecord living = Record("living");
-    living.address = "x:80";
-    view.OnFeed(kStart, "c1", Full(1, {living}));
+    wire::LeafRecord running = Record("living");
+    running.address = "x:80";
+    view.OnFeed(kStart, "c1", Full(1, {running}));
     CPPUNIT_ASSERT(view.UsableLeafs("desk") == std::vector<std::string>{"living"});
-    // It is used again once nobody reports from its address.
+    // It is used again once no leaf reports from its address.
     view.OnFeed(kStart + Seconds(1), "c1", {1, 2, {}, {"living"}, {}, 1});
     CPPUNIT_ASSERT(view.UsableLeafs("desk") == std::vector<std::string>{"ended"});
     Forget(&committed, {"ended", "desk", "x:80", "north", 2, 1});
@@ -95,7 +96,7 @@
     CPPUNIT_ASSERT(view.leafs().empty());
   }
 
-  void ColdWordOfAnySourceCounts() {
+  void ColdReportOfAnySourceCounts() {
     LeafView view({});
     wire::LeafRecord cold = Record("a");
     cold.cold_milliseconds = 2000;
@@ -106,9 +107,9 @@
     CPPUNIT_ASSERT(view.cold_until().empty());
   }
 
-  /// After all control machines have restarted each leaf reports anew: what users of the view work
-  /// out from it stays as it is.
-  void KnownLeafsThatReportAnewChangeNothing() {
+  /// Each leaf reports again after a restart of all control machines; the state derived from the
+  /// view must not be recomputed.
+  void RepeatedReportsOfKnownLeafsChangeNothing() {
     LeafView view({});
     view.OnFeed(kStart, "c1", Full(1, {Record("a"), Record("b", /*draining=*/true)}));
     const uint64_t version = view.version();
@@ -123,9 +124,9 @@
     CPPUNIT_ASSERT(view.version() > version);
   }
 
-  /// Each rebuild costs time for every leaf there is: hundreds of leafs that come within a second
-  /// must not cost hundreds of them. What waits takes effect within the interval.
-  void ReportsOfACrowdTakeEffectTogether() {
+  /// A rebuild takes time for every known leaf. Hundreds of leafs that start within a second must
+  /// not cause hundreds of rebuilds; pending reports take effect within the interval.
+  void ManyReportsTakeEffectTogether() {
     constexpr int kLeafs = 400;
     LeafView view({.merge_interval = Milliseconds(100)});
     view.OnFeed(kStart, "c1", Full(1, {}));
@@ -143,7 +144,7 @@
     CPPUNIT_ASSERT(!view.next_merge().has_value());
   }
 
-  void AnyWordOfLeavingIsEnough() {
+  void DrainingReportedByAnySourceCounts() {
     LeafView view({});
     view.OnFeed(kStart, "c1", Full(1, {Record("a", true)}));
     view.OnFeed(kStart, "c2", Full(1, {Record("a", false)}));
@@ -160,7 +161,7 @@
     CPPUNIT_ASSERT(std::vector<std::string>{"b"} == view.UsableLeafs("desk"));
   }
 
-  void GapInChangesIsNoticed() {
+  void GapInUpdatesIsDetected() {
     LeafView view({});
     view.OnFeed(kStart, "c1", Full(3, {Record("a")}));
     CPPUNIT_ASSERT(!view.OnFeed(kStart, "c1", {5, 6, {Record("b")}, {}, {}, 1}));
@@ -169,9 +170,9 @@
     CPPUNIT_ASSERT_EQUAL(size_t{2}, view.UsableLeafs("desk").size());
   }
 
-  /// All control machines restart at once: the leafs are still there while they report again.
-  void RestartedSourceForgetsNothingAtOnce() {
-    LeafView view({.unconfirmed_patience = Seconds(8)});
+  /// After a restart of all control machines the leafs stay usable until they report again.
+  void LeafsOfARestartedSourceStayUsableAtFirst() {
+    LeafView view({.unconfirmed_timeout = Seconds(8)});
     view.OnFeed(kStart, "c1", Full(9, {Record("a"), Record("b")}));
     view.OnSourceLost(kStart, "c1");
     view.OnFeed(kStart + Seconds(1), "c1", Full(1, {}));
@@ -181,8 +182,8 @@
     CPPUNIT_ASSERT(std::vector<std::string>{"b"} == view.UsableLeafs("desk"));
   }
 
-  void LostSourceCountsOnWhileNobodyElseReports() {
-    LeafView view({.lost_source_patience = Seconds(15)});
+  void LostSourceCountsWhileNoOtherSourceReports() {
+    LeafView view({.lost_source_timeout = Seconds(15)});
     view.OnFeed(kStart, "c1", Full(1, {Record("a")}));
     view.OnSourceLost(kStart, "c1");
     view.Tick(kStart + Seconds(1000));
@@ -192,7 +193,7 @@
     CPPUNIT_ASSERT(std::vector<std::string>{"b"} == view.UsableLeafs("desk"));
   }
 
-  void LeafReportedElsewhereSurvivesItsOldSource() {
+  void LeafReportedElsewhereOutlivesItsOldSource() {
     LeafView view({});
     view.OnFeed(kStart, "c1", Full(1, {Record("a")}));
     view.OnFeed(kStart, "c2", Full(1, {Record("a")}));
@@ -200,13 +201,13 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, view.UsableLeafs("desk").size());
   }
 
-  /// All machines lost power: the first configuration brings the leafs along.
+  /// After a power failure of all machines the first configuration contains the leafs.
   void CommittedLeafsAreUsableBeforeAnyReport() {
     config::ConfigState committed = Committed(
         {{"a", "desk", "10.0.0.1:80", "north", 2, 7}, {"b", "desk", "10.0.0.2:80", "north", 2, 7}});
     Retire(&committed, "b");
     LeafView view({}, &committed);
-    view.OnCommittedAnew(kStart);
+    view.OnCommittedReset(kStart);
     CPPUNIT_ASSERT(std::vector<std::string>{"a"} == view.UsableLeafs("desk"));
   }
 };
--- a/test/gateway/merger_placement_test.cc
+++ b/test/gateway/merger_placement_test.cc
@@ -1,4 +1,4 @@
-// Groups of shards and who merges them.
+// Division of shards into groups, and their mergers.
 #include "gateway/merger_placement.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -14,10 +14,10 @@
   CPPUNIT_TEST(FewShardsAreGatheredAlone);
   CPPUNIT_TEST(MoreShardsMakeMoreGroups);
   CPPUNIT_TEST(GroupsCoverEveryShardOnce);
-  CPPUNIT_TEST(OneThatGoesMovesOnlyItsOwnGroups);
-  CPPUNIT_TEST(OwnersAreFewHoweverLargeTheFleet);
+  CPPUNIT_TEST(RemovedGatewayMovesOnlyItsOwnGroups);
+  CPPUNIT_TEST(NumberOfOwnersIsIndependentOfTheFleet);
   CPPUNIT_TEST(NoGatewayOwnsTwoGroupsWhileAnotherOwnsNone);
-  CPPUNIT_TEST(OwnerThatGoesMovesFewGroups);
+  CPPUNIT_TEST(RemovedOwnerMovesFewGroups);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -65,21 +65,21 @@
     CPPUNIT_ASSERT(held);
   }
 
-  void OneThatGoesMovesOnlyItsOwnGroups() {
+  void RemovedGatewayMovesOnlyItsOwnGroups() {
     const bool held = rc::check("a gateway that goes moves only its own groups", [] {
       const size_t count = *rc::gen::inRange<size_t>(3, 60);
       std::vector<std::string> gateways;
       for (size_t i = 0; i < count; ++i) {
         gateways.push_back("edge-" + std::to_string(i));
       }
-      const std::string gone = gateways[*rc::gen::inRange<size_t>(0, count)];
+      const std::string removed = gateways[*rc::gen::inRange<size_t>(0, count)];
       std::vector<std::string> rest = gateways;
-      std::erase(rest, gone);
+      std::erase(rest, removed);
       for (int i = 0; i < 20; ++i) {
         const std::string group = "shard-" + std::to_string(i);
         std::vector<std::string> before = MergersOf(group, gateways, 2);
         const std::vector<std::string> after = MergersOf(group, rest, 2);
-        std::erase(before, gone);
+        std::erase(before, removed);
         RC_ASSERT(std::equal(before.begin(), before.end(), after.begin()));
       }
     });
@@ -94,9 +94,9 @@
     return names;
   }
 
-  /// A thousand gateways that each merged a few requests a minute had cold connections and a part
-  /// of the allowance that paid for nothing.
-  void OwnersAreFewHoweverLargeTheFleet() {
+  /// Guards against too many owners: a thousand gateways that each merged a few requests a minute
+  /// had cold connections and too small a share of the allowance to pay for any sub-request.
+  void NumberOfOwnersIsIndependentOfTheFleet() {
     for (const size_t gateways : {3, 50, 200, 1500}) {
       for (const GroupMergers& group : AssignMergers(Names("s", 10), Names("g", gateways))) {
         CPPUNIT_ASSERT_EQUAL(kOwnersPerZone, group.owners.size());
@@ -114,30 +114,30 @@
       std::map<std::string, size_t> owned;
       for (const GroupMergers& group : AssignMergers(Names("s", groups), Names("g", gateways))) {
         RC_ASSERT(group.owners.size() == kOwnersPerZone);
-        RC_ASSERT(group.stand_ins.size() == std::min(kStandInsPerZone, gateways - kOwnersPerZone));
+        RC_ASSERT(group.backups.size() == std::min(kBackupsPerZone, gateways - kOwnersPerZone));
         for (const std::string& owner : group.owners) {
           ++owned[owner];
-          RC_ASSERT(std::find(group.stand_ins.begin(), group.stand_ins.end(), owner) ==
-                    group.stand_ins.end());
+          RC_ASSERT(std::find(group.backups.begin(), group.backups.end(), owner) ==
+                    group.backups.end());
         }
       }
-      const size_t most = (groups * kOwnersPerZone + gateways - 1) / gateways;
+      const size_t even_share = (groups * kOwnersPerZone + gateways - 1) / gateways;
       for (const auto& [gateway, count] : owned) {
-        // A group needs two different owners; the last one may find room only where it is full.
-        RC_ASSERT(count <= most + 1);
+        // A group needs two different owners, so the last one may have to exceed its even share.
+        RC_ASSERT(count <= even_share + 1);
       }
     });
     CPPUNIT_ASSERT(held);
   }
 
-  /// Connections are warm where they were: one that goes moves few groups.
-  void OwnerThatGoesMovesFewGroups() {
+  /// A removed gateway moves only few groups, so that most connections stay warm.
+  void RemovedOwnerMovesFewGroups() {
     const std::vector<std::string> groups = Names("s", 10);
     const std::vector<std::string> gateways = Names("g", 160);
     const std::vector<GroupMergers> before = AssignMergers(groups, gateways);
-    for (const std::string& gone : before[3].owners) {
+    for (const std::string& removed : before[3].owners) {
       std::vector<std::string> rest = gateways;
-      std::erase(rest, gone);
+      std::erase(rest, removed);
       const std::vector<GroupMergers> after = AssignMergers(groups, rest);
       size_t moved = 0;
       for (size_t i = 0; i < groups.size(); ++i) {
--- a/test/gateway/peer_view_test.cc
+++ b/test/gateway/peer_view_test.cc
@@ -1,4 +1,4 @@
-// What a gateway knows of the others.
+// A gateway's view of the other gateways.
 #include "gateway/peer_view.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -18,8 +18,8 @@
 class PeerViewTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PeerViewTest);
   CPPUNIT_TEST(FollowsChanges);
-  CPPUNIT_TEST(MissedChangesAreNoticed);
-  CPPUNIT_TEST(KeepsWhatItKnowsUntilAnotherSourceSpeaks);
+  CPPUNIT_TEST(MissedUpdatesAreDetected);
+  CPPUNIT_TEST(KeepsItsListUntilAnotherSourceReports);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -35,7 +35,7 @@
     CPPUNIT_ASSERT(view.InZone("nowhere").empty());
   }
 
-  void MissedChangesAreNoticed() {
+  void MissedUpdatesAreDetected() {
     PeerView view;
     CPPUNIT_ASSERT(view.OnFeed(kOne, {0, 5, {Peer("a", "north")}, {}}));
     CPPUNIT_ASSERT(!view.OnFeed(kOne, {6, 7, {Peer("b", "north")}, {}}));
@@ -43,18 +43,18 @@
     CPPUNIT_ASSERT_EQUAL(size_t{1}, view.size());
   }
 
-  void KeepsWhatItKnowsUntilAnotherSourceSpeaks() {
+  void KeepsItsListUntilAnotherSourceReports() {
     PeerView view;
     CPPUNIT_ASSERT(view.OnFeed(kOne, {0, 5, {Peer("a", "north")}, {}}));
     view.OnSourceLost(kOne);
     CPPUNIT_ASSERT_EQUAL(uint64_t{0}, view.VersionOf(kOne));
     CPPUNIT_ASSERT_EQUAL(size_t{1}, view.size());
-    // Changes against a list that is not held here are of no use.
+    // Changes relative to a list that is not held here cannot be applied.
     CPPUNIT_ASSERT(!view.OnFeed(kOther, {3, 4, {Peer("b", "north")}, {}}));
     CPPUNIT_ASSERT_EQUAL(size_t{1}, view.size());
     CPPUNIT_ASSERT(view.OnFeed(kOther, {0, 4, {Peer("b", "north")}, {}}));
     CPPUNIT_ASSERT(view.InZone("north") == std::vector<std::string>{"b"});
-    // A late word of the first one does not count any more.
+    // A late update from the first source no longer has an effect.
     CPPUNIT_ASSERT(!view.OnFeed(kOne, {5, 6, {Peer("c", "north")}, {}}));
     CPPUNIT_ASSERT_EQUAL(uint64_t{4}, view.VersionOf(kOther));
   }
--- a/test/gateway/pool_keeper_test.cc
+++ b/test/gateway/pool_keeper_test.cc
@@ -1,5 +1,5 @@
-// The pool of a gateway in a fleet of thousands of leafs: each change costs what it is about, not
-// what there is.
+// The leaf pool of a gateway in a fleet of thousands of leafs: the cost of a change depends on the
+// change, not on the size of the fleet.
 #include "gateway/pool_keeper.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -17,7 +17,7 @@
   return {name, Service(service), name + ":80", i % 3 == 0 ? "north" : "south", 3, draining, 0};
 }
 
-/// A gateway's leafs and pool, by word of one control machine.
+/// A gateway's leaf view and pool with one control machine.
 struct Fleet {
   explicit Fleet(int services) {
     wire::LeafFeed feed;
@@ -33,19 +33,19 @@
     view.OnFeed(now, "c1", feed);
     Sync(100);
   }
-  void Say(std::vector<wire::LeafRecord> records, std::vector<std::string> gone = {}) {
+  void Report(std::vector<wire::LeafRecord> records, std::vector<std::string> gone = {}) {
     view.OnFeed(now, "c1", {version, version + 1, std::move(records), std::move(gone), {}, 1});
     ++version;
     Sync(gateways);
   }
   void Sync(uint32_t count) {
     gateways = count;
-    keeper.Sync(now, view, view.TakeChanges(), {table.get(), gateways});
+    pool_updater.Sync(now, view, view.TakeChanges(), {table.get(), gateways});
   }
   size_t Preferred(int service) const {
     size_t count = 0;
     for (int i = 0; i < kLeafsPerService; ++i) {
-      count += keeper.IsPreferred(Service(service), Leaf(service, i).leaf) ? 1 : 0;
+      count += pool_updater.IsPreferred(Service(service), Leaf(service, i).leaf) ? 1 : 0;
     }
     return count;
   }
@@ -56,41 +56,43 @@
   std::unique_ptr<routing::RouteTable> table;
   LeafView view{{}};
   balance::LeafPool pool{{}, 1};
-  PoolKeeper keeper{"g1", "north", &pool};
+  PoolKeeper pool_updater{"g1", "north", &pool};
 };
 
 }  // namespace
 
 class PoolKeeperTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PoolKeeperTest);
-  CPPUNIT_TEST(WorkOfAChangeIsThatOfItsService);
-  CPPUNIT_TEST(GatewaysThatComeCostNothingUntilSubsetsShrink);
+  CPPUNIT_TEST(CostOfAChangeIsLimitedToItsService);
+  CPPUNIT_TEST(AddedGatewaysCostNothingUntilSubsetsShrink);
   CPPUNIT_TEST(PoolFollowsLeafs);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  /// Thousands of leafs come within seconds of a start, told in hundreds of messages to each of a
-  /// thousand gateways: working the whole pool out anew at each took all of their processor time.
-  void WorkOfAChangeIsThatOfItsService() {
+  /// After a start thousands of leafs appear within seconds, in hundreds of messages to each of a
+  /// thousand gateways. Recomputing the whole pool for each message took all of their processor
+  /// time.
+  void CostOfAChangeIsLimitedToItsService() {
     for (const int services : {10, 1000}) {
       Fleet fleet(services);
-      const uint64_t before = fleet.keeper.placements();
-      fleet.Say({Leaf(3, 5, /*draining=*/true)});
-      CPPUNIT_ASSERT(fleet.keeper.placements() - before <= kLeafsPerService + 1);
+      const uint64_t before = fleet.pool_updater.placements();
+      fleet.Report({Leaf(3, 5, /*draining=*/true)});
+      CPPUNIT_ASSERT(fleet.pool_updater.placements() - before <= kLeafsPerService + 1);
     }
   }
 
   /// While a fleet starts, the number of gateways changes with every message.
-  void GatewaysThatComeCostNothingUntilSubsetsShrink() {
+  void AddedGatewaysCostNothingUntilSubsetsShrink() {
     Fleet fleet(100);
-    const uint64_t before = fleet.keeper.placements();
+    const uint64_t before = fleet.pool_updater.placements();
     CPPUNIT_ASSERT_EQUAL(size_t{21}, fleet.Preferred(0));
     for (uint32_t count = 101; count < 130; ++count) {
       fleet.now += Milliseconds(1);
       fleet.Sync(count);
     }
-    CPPUNIT_ASSERT_EQUAL(before, fleet.keeper.placements());
-    // 21 leafs of 175 connections, a quarter kept free, over 985 gateways: two each.
+    CPPUNIT_ASSERT_EQUAL(before, fleet.pool_updater.placements());
+    // 21 leafs with 175 connections each, a quarter of them reserved, divided by 985 gateways: two
+    // leafs per gateway.
     fleet.now += Seconds(1);
     fleet.Sync(985);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, fleet.Preferred(0));
@@ -100,12 +102,12 @@
     Fleet fleet(2);
     const std::string leaf = Leaf(1, 4).leaf;
     CPPUNIT_ASSERT(fleet.pool.AvailabilityOf(leaf, fleet.now) == balance::Availability::kReady);
-    fleet.Say({Leaf(1, 4, /*draining=*/true)});
+    fleet.Report({Leaf(1, 4, /*draining=*/true)});
     CPPUNIT_ASSERT(fleet.pool.AvailabilityOf(leaf, fleet.now) == balance::Availability::kLeaving);
-    CPPUNIT_ASSERT(!fleet.keeper.IsPreferred(Service(1), leaf));
-    fleet.Say({}, {leaf});
+    CPPUNIT_ASSERT(!fleet.pool_updater.IsPreferred(Service(1), leaf));
+    fleet.Report({}, {leaf});
     CPPUNIT_ASSERT_EQUAL(size_t{2 * kLeafsPerService - 1}, fleet.pool.Names().size());
-    // A zone that is evacuated and taken back.
+    // A zone is evacuated and restored.
     fleet.view.SetEvacuated(fleet.now, {"north"});
     fleet.Sync(fleet.gateways);
     const std::string north = Leaf(0, 0).leaf;
@@ -113,7 +115,7 @@
     fleet.view.SetEvacuated(fleet.now, {});
     fleet.Sync(fleet.gateways);
     CPPUNIT_ASSERT(fleet.pool.AvailabilityOf(north, fleet.now) == balance::Availability::kReady);
-    CPPUNIT_ASSERT(fleet.keeper.IsPreferred(Service(0), north));
+    CPPUNIT_ASSERT(fleet.pool_updater.IsPreferred(Service(0), north));
   }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(PoolKeeperTest);
--- a/test/gateway/question_queue_test.cc
+++ b/test/gateway/question_queue_test.cc
@@ -8,47 +8,47 @@
 namespace pumicedyke::gateway {
 namespace {
 
-ArrivedQuestion Question(uint64_t session, uint64_t id, uint32_t priority) {
+ArrivedQuestion MakeQuery(uint64_t session, uint64_t id, uint32_t priority) {
   wire::PartialQuery query;
   query.id = id;
   query.priority = priority;
   return {session, {"test", 1, query}, Timestamp(Seconds(1))};
 }
 
-uint64_t IdOf(const std::optional<ArrivedQuestion>& question) {
-  return std::get<wire::PartialQuery>(question->envelope.body).id;
+uint64_t IdOf(const std::optional<ArrivedQuestion>& query) {
+  return std::get<wire::PartialQuery>(query->envelope.body).id;
 }
 
 }  // namespace
 
 class QuestionQueueTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(QuestionQueueTest);
-  CPPUNIT_TEST(UrgentOnesComeFirst);
-  CPPUNIT_TEST(EqualOnesComeAsTheyWereRead);
-  CPPUNIT_TEST(CancelledOnesAreGone);
-  CPPUNIT_TEST(SessionsThatEndTakeTheirsAlong);
-  CPPUNIT_TEST(OtherWordsAreNotForIt);
+  CPPUNIT_TEST(MostUrgentIsTakenFirst);
+  CPPUNIT_TEST(EqualPrioritiesAreTakenInReadingOrder);
+  CPPUNIT_TEST(CancelledQueriesAreRemoved);
+  CPPUNIT_TEST(ClosingASessionRemovesItsQueries);
+  CPPUNIT_TEST(OtherMessagesAreRejected);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  /// A burst of the least urgent kind was read before one urgent question.
-  void UrgentOnesComeFirst() {
+  /// A burst of queries with the lowest priority was read before one urgent query.
+  void MostUrgentIsTakenFirst() {
     QuestionQueue queue;
     for (uint64_t id = 1; id <= 50; ++id) {
-      ArrivedQuestion question = Question(1, id, 5);
-      CPPUNIT_ASSERT(queue.Add(&question));
+      ArrivedQuestion query = MakeQuery(1, id, 5);
+      CPPUNIT_ASSERT(queue.Add(&query));
     }
-    ArrivedQuestion urgent = Question(2, 51, 0);
+    ArrivedQuestion urgent = MakeQuery(2, 51, 0);
     CPPUNIT_ASSERT(queue.Add(&urgent));
     CPPUNIT_ASSERT_EQUAL(uint64_t{51}, IdOf(queue.Take()));
     CPPUNIT_ASSERT_EQUAL(uint64_t{1}, IdOf(queue.Take()));
   }
 
-  void EqualOnesComeAsTheyWereRead() {
+  void EqualPrioritiesAreTakenInReadingOrder() {
     QuestionQueue queue;
     for (const uint64_t id : {3, 1, 2}) {
-      ArrivedQuestion question = Question(id, id, 1);
-      queue.Add(&question);
+      ArrivedQuestion query = MakeQuery(id, id, 1);
+      queue.Add(&query);
     }
     for (const uint64_t id : {3, 1, 2}) {
       CPPUNIT_ASSERT_EQUAL(id, IdOf(queue.Take()));
@@ -56,28 +56,28 @@
     CPPUNIT_ASSERT(!queue.Take().has_value());
   }
 
-  void CancelledOnesAreGone() {
+  void CancelledQueriesAreRemoved() {
     QuestionQueue queue;
-    ArrivedQuestion question = Question(1, 7, 1);
-    queue.Add(&question);
+    ArrivedQuestion query = MakeQuery(1, 7, 1);
+    queue.Add(&query);
     CPPUNIT_ASSERT(!queue.Cancel(2, 7));
     CPPUNIT_ASSERT(queue.Cancel(1, 7));
     CPPUNIT_ASSERT(!queue.Cancel(1, 7));
     CPPUNIT_ASSERT(!queue.Take().has_value());
   }
 
-  void SessionsThatEndTakeTheirsAlong() {
+  void ClosingASessionRemovesItsQueries() {
     QuestionQueue queue;
     for (const uint64_t session : {1, 2}) {
-      ArrivedQuestion question = Question(session, session, 1);
-      queue.Add(&question);
+      ArrivedQuestion query = MakeQuery(session, session, 1);
+      queue.Add(&query);
     }
     queue.CloseSession(1);
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, IdOf(queue.Take()));
     CPPUNIT_ASSERT(!queue.Take().has_value());
   }
 
-  void OtherWordsAreNotForIt() {
+  void OtherMessagesAreRejected() {
     QuestionQueue queue;
     ArrivedQuestion cancel{1, {"test", 1, wire::PartialCancel{7, true}}, {}};
     CPPUNIT_ASSERT(!queue.Add(&cancel));
--- a/test/gateway/record_merge_test.cc
+++ b/test/gateway/record_merge_test.cc
@@ -1,4 +1,4 @@
-// The greatest records of several parts.
+// Merging the greatest records of several shard results.
 #include "gateway/record_merge.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -10,19 +10,19 @@
 
 class RecordMergeTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RecordMergeTest);
-  CPPUNIT_TEST(BytesCompareUnsignedAndEqualOnesCount);
-  CPPUNIT_TEST(RestIsNoRecord);
+  CPPUNIT_TEST(BytesCompareUnsignedAndDuplicatesCount);
+  CPPUNIT_TEST(RemainderIsIgnored);
   CPPUNIT_TEST(SameAsSortingEverything);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void BytesCompareUnsignedAndEqualOnesCount() {
+  void BytesCompareUnsignedAndDuplicatesCount() {
     const std::string high(kRecordBytes, '\xff');
     const std::string low(kRecordBytes, '\x01');
     CPPUNIT_ASSERT_EQUAL(high + high + low, MergeGreatest({low + high, high + low}, 3));
   }
 
-  void RestIsNoRecord() {
+  void RemainderIsIgnored() {
     const std::string record(kRecordBytes, 'a');
     CPPUNIT_ASSERT_EQUAL(record, MergeGreatest({record + "zzz", "zzz", ""}, 10));
     CPPUNIT_ASSERT_EQUAL(std::string(), MergeGreatest({}, 10));
@@ -37,7 +37,7 @@
         std::string part;
         const int size = *rc::gen::inRange(0, 12);
         for (int j = 0; j < size; ++j) {
-          // Few different bytes, so that equal records are common.
+          // Few different byte values, so that equal records are common.
           const auto record = *rc::gen::container<std::string>(
               kRecordBytes, rc::gen::element('\x00', '\x7f', '\x80'));
           records.push_back(record);
