--- a/src/gateway/gateway_control.cc
+++ b/src/gateway/gateway_control.cc
@@ -47,11 +47,11 @@
     const Duration by_size = knobs.presence_interval_per_gateway * static_cast<int64_t>(gateways_);
     return std::clamp(by_size, knobs.presence_interval, knobs.max_presence_interval);
   }
-  // While the set of gateways changes, updates are requested more often from the followed control
-  // machine.
+  // While the set of gateways changes, updates are requested more frequent from the followed
+  // control machine.
   const bool changing = now - peers_changed_ < knobs.peers_settle_time;
-  const bool often = table_ == nullptr || changing;
-  return often ? knobs.starting_presence_interval : knobs.presence_interval;
+  const bool frequent = table_ == nullptr || changing;
+  return frequent ? knobs.starting_presence_interval : knobs.presence_interval;
 }
 
 void GatewayServer::MaintainControlLinks(Timestamp now) {
@@ -227,9 +227,9 @@
 Timestamp GatewayServer::ColdUntil(const wire::LeafRecord& record,
                                    const routing::ServiceSpec& service) const {
   Timestamp until{};
-  const auto said = view_.cold_until().find(record.leaf);
-  if (said != view_.cold_until().end()) {
-    until = said->second;
+  const auto reported = view_.cold_until().find(record.leaf);
+  if (reported != view_.cold_until().end()) {
+    until = reported->second;
   }
   // Leafs of a restored zone may have become cold, and their reports arrive with some delay.
   if (const std::optional<Timestamp> restored = view_.RestoredAt(record.zone)) {
@@ -239,7 +239,7 @@
 }
 
 std::map<std::string, double> GatewayServer::ColdSharesOfMergers() {
-  std::map<std::string, double> parts;
+  std::map<std::string, double> shares;
   for (const routing::Route& route : table_->set().routes) {
     const size_t groups = GroupsOf(route);
     if (groups <= 1) {
@@ -250,13 +250,13 @@
       const GroupPlace place = PlaceOf(route.shards, ranges, i);
       const size_t co_owners = owners_.CoOwnerCount(place, route.homes);
       for (const std::string& shard : place.shards) {
-        const double part = co_owners == 0 ? 0.0 : 1.0 / static_cast<double>(co_owners);
-        const auto [it, inserted] = parts.emplace(shard, part);
-        it->second = inserted ? part : std::min(it->second, part);
+        const double share = co_owners == 0 ? 0.0 : 1.0 / static_cast<double>(co_owners);
+        const auto [it, inserted] = shares.emplace(shard, share);
+        it->second = inserted ? share : std::min(it->second, share);
       }
     }
   }
-  return parts;
+  return shares;
 }
 
 double GatewayServer::ColdShareOf(const std::string& leaf, double per_second) const {
@@ -271,17 +271,17 @@
 }
 
 void GatewayServer::SyncCold(Timestamp now) {
-  const ColdLimitInputs basis{view_.cold_reports(), view_.merges(), document_version(),
-                              peers_.changes()};
-  if (table_ == nullptr || cold_limit_inputs_ == basis) {
+  const ColdLimitInputs inputs{view_.cold_reports(), view_.merges(), document_version(),
+                               peers_.changes()};
+  if (table_ == nullptr || cold_limit_inputs_ == inputs) {
     return;
   }
-  cold_limit_inputs_ = basis;
+  cold_limit_inputs_ = inputs;
   if (!limits_cold_leafs_) {
     return;
   }
   std::map<std::string, balance::ColdLimit> limits;
-  std::optional<std::map<std::string, double>> merger_parts;
+  std::optional<std::map<std::string, double>> merger_shares;
   for (const auto& [leaf, record] : view_.leafs()) {
     const routing::ServiceSpec* service = table_->FindService(record.service);
     if (service == nullptr || service->cold_requests_per_second <= 0) {
@@ -291,13 +291,13 @@
     if (now >= until) {
       continue;
     }
-    if (!merger_parts.has_value()) {
-      merger_parts = ColdSharesOfMergers();
+    if (!merger_shares.has_value()) {
+      merger_shares = ColdSharesOfMergers();
     }
-    const double borne = options_.knobs.cold_share * service->cold_requests_per_second;
-    const auto part = merger_parts->find(record.service);
-    limits[leaf] = {
-        until, borne * (part == merger_parts->end() ? ColdShareOf(leaf, borne) : part->second)};
+    const double capacity = options_.knobs.cold_share * service->cold_requests_per_second;
+    const auto share = merger_shares->find(record.service);
+    limits[leaf] = {until, capacity * (share == merger_shares->end() ? ColdShareOf(leaf, capacity)
+                                                                     : share->second)};
   }
   pool_.SetCold(now, limits);
 }
--- a/src/gateway/gateway_entry.cc
+++ b/src/gateway/gateway_entry.cc
@@ -24,10 +24,10 @@
     RefuseEarly(now, id, std::move(request));
     return;
   }
-  const Duration patience =
+  const Duration client_wait =
       request->deadline.count() > 0 ? request->deadline : options_.knobs.default_client_timeout;
   const Duration wait =
-      std::min(options_.knobs.max_start_wait, patience / options_.knobs.start_wait_divisor);
+      std::min(options_.knobs.max_start_wait, client_wait / options_.knobs.start_wait_divisor);
   early_[id] = {std::move(request), arrived, arrived + wait, document_version()};
 }
 
--- a/src/gateway/gateway_merging.cc
+++ b/src/gateway/gateway_merging.cc
@@ -273,14 +273,14 @@
     Remove(id);
     return;
   }
-  const Timestamp reported =
+  const Timestamp report_due =
       std::max(job.report_at, job.last_reply + options_.knobs.report_interval);
-  const Timestamp sign = job.last_reply + options_.knobs.progress_interval;
+  const Timestamp progress_due = job.last_reply + options_.knobs.progress_interval;
   // The whole gather may fail because of this group, so the root has to learn of it early.
-  const bool hopeless = !job.unreported_gaps.empty() && job.gaps > job.may_miss &&
-                        now >= job.last_reply + options_.knobs.report_interval;
-  const bool report = hopeless || (!job.unreported.empty() && now >= reported);
-  if (report || now >= sign) {
+  const bool gather_may_fail = !job.unreported_gaps.empty() && job.gaps > job.may_miss &&
+                               now >= job.last_reply + options_.knobs.report_interval;
+  const bool report = gather_may_fail || (!job.unreported.empty() && now >= report_due);
+  if (report || now >= progress_due) {
     SendPartialAnswer(job.session,
                       report ? TakePartialAnswer(&job, wire::PartialStage::kParts)
                              : EmptyPartialAnswer(job.query_id, wire::PartialStage::kAccepted),
--- a/src/gateway/gateway_server.cc
+++ b/src/gateway/gateway_server.cc
@@ -25,8 +25,8 @@
 /// time-out. Most clients keep their connections, so some requests arrive with no time spent.
 constexpr uint64_t kMinDeadlineSamples = 16;
 
-Duration Part(Duration whole, double part) {
-  return Duration(static_cast<int64_t>(static_cast<double>(whole.count()) * part));
+Duration Fraction(Duration whole, double fraction) {
+  return Duration(static_cast<int64_t>(static_cast<double>(whole.count()) * fraction));
 }
 
 template <typename Item>
@@ -177,7 +177,7 @@
   if (request.deadline.count() == 0 || runtime == runtimes_.end()) {
     return std::nullopt;
   }
-  const Duration most = Part(route.objective, options_.knobs.max_client_spent_share);
+  const Duration most = Fraction(route.objective, options_.knobs.max_client_spent_share);
   // If clients wait about as long as the route allows, the route's time-out is the total time;
   // otherwise the longest deadline seen is.
   const Duration seen = runtime->second.max_client_deadline;
@@ -194,18 +194,18 @@
   const GatewayKnobs& knobs = options_.knobs;
   const std::optional<Duration> spent = SpentByClient(route, request);
   if (!spent.has_value()) {
-    return std::min(knobs.answer_margin, Part(route.objective, knobs.max_answer_margin_share));
+    return std::min(knobs.answer_margin, Fraction(route.objective, knobs.max_answer_margin_share));
   }
   return *spent +
-         std::min(knobs.network_margin, Part(route.objective, knobs.max_network_margin_share));
+         std::min(knobs.network_margin, Fraction(route.objective, knobs.max_network_margin_share));
 }
 
 policy::QueryPlan GatewayServer::PlanFor(const routing::Route& route,
                                          const PayloadRequest& request) const {
   policy::QueryPlan plan;
-  const Duration patience = request.deadline.count() > 0 ? request.deadline - kClientSendDelay
-                                                         : options_.knobs.default_client_timeout;
-  plan.deadline = std::max(Duration(0), std::min(route.timeout, patience));
+  const Duration client_wait = request.deadline.count() > 0 ? request.deadline - kClientSendDelay
+                                                            : options_.knobs.default_client_timeout;
+  plan.deadline = std::max(Duration(0), std::min(route.timeout, client_wait));
   plan.wait = std::min(plan.deadline, route.objective - AnswerMargin(route, request));
   plan.min_coverage = route.gathers() ? route.min_coverage : 1.0;
   plan.extra_load = options_.extra_load.ratio;
--- a/src/gateway/gateway_server.h
+++ b/src/gateway/gateway_server.h
@@ -63,8 +63,9 @@
   double hedge_quantile = 0.95;
   /// Time that a client without a deadline is assumed to wait.
   Duration default_client_timeout = Seconds(600);
-  /// Routes are expected this long after the start. A request that arrives much earlier is refused
-  /// with this time as retry hint; a later one waits for the routes.
+  /// Routes are expected this long after the start. A request that arrives at least
+  /// `min_start_refusal` before that is refused with a retry hint; a later one waits for the
+  /// routes.
   Duration expected_start = Milliseconds(400);
   Duration min_start_refusal = Milliseconds(100);
   /// A request that arrives before any route is known waits at most this long, and at most the
@@ -96,7 +97,7 @@
   /// long: it may be partitioned from the others without noticing.
   Duration control_avoid_time = Seconds(10);
   /// Number of gateways that may be added at any time: connections and budgets are divided by the
-  /// current number plus this one.
+  /// current number plus this.
   uint32_t spare_gateways = 1;
   /// Fraction of a cold leaf's capacity that all gateways together use. Their views of which
   /// gateways send to the leaf may differ for a short time.
@@ -445,7 +446,7 @@
   /// else lets it wait for the proof. A request without a key is refused at once.
   void RefuseUnknown(Timestamp now, RequestId id, std::shared_ptr<const PayloadRequest> request,
                      Timestamp arrived, ResultCode code);
-  /// Returns when the keys in force here were last proven to be the committed ones.
+  /// Returns when the keys in force here were last proven to be those acknowledged to operators.
   Timestamp KeysProvenAt() const;
   /// Starts a held request after its limit was granted, if it is still permitted.
   void StartHeld(Timestamp now, RequestId id, const HeldRequest& held);
--- a/src/gateway/group_owners.cc
+++ b/src/gateway/group_owners.cc
@@ -42,8 +42,8 @@
   // Rotate by a hash of the node, so that gateways in zones without leafs spread over the other
   // zones.
   const std::string text = node_ + "/" + shards.front();
-  const uint64_t turn = XXH64(text.data(), text.size(), 0) % ordered.size();
-  std::rotate(ordered.begin(), ordered.begin() + static_cast<long>(turn), ordered.end());
+  const uint64_t offset = XXH64(text.data(), text.size(), 0) % ordered.size();
+  std::rotate(ordered.begin(), ordered.begin() + static_cast<long>(offset), ordered.end());
   std::stable_partition(ordered.begin(), ordered.end(),
                         [this](const std::string& zone) { return zone == zone_; });
   return ordered;
@@ -88,8 +88,8 @@
     return;
   }
   // Each root starts at a different owner, so that the owners share the load.
-  const uint64_t turn = XXH64(node_.data(), node_.size(), 0) % mergers.size();
-  std::rotate(mergers.begin(), mergers.begin() + static_cast<long>(turn), mergers.end());
+  const uint64_t offset = XXH64(node_.data(), node_.size(), 0) % mergers.size();
+  std::rotate(mergers.begin(), mergers.begin() + static_cast<long>(offset), mergers.end());
   for (const std::string& merger : mergers) {
     const std::string& address = peers_->Find(merger)->peer_address;
     if (merger == node_ || tried.contains(address)) {
--- a/src/gateway/merger_placement.cc
+++ b/src/gateway/merger_placement.cc
@@ -105,10 +105,10 @@
   for (const std::string& group : groups) {
     ranked.push_back(MergersOf(group, gateways, gateways.size()));
   }
-  const size_t places = groups.size() * kOwnersPerZone;
-  const size_t max_groups = (places + gateways.size() - 1) / gateways.size();
+  const size_t ownerships = groups.size() * kOwnersPerZone;
+  const size_t max_groups = (ownerships + gateways.size() - 1) / gateways.size();
   std::map<std::string, size_t> owned;
-  for (size_t turn = 0; turn < kOwnersPerZone; ++turn) {
+  for (size_t round = 0; round < kOwnersPerZone; ++round) {
     for (size_t i = 0; i < groups.size(); ++i) {
       const std::optional<std::string> owner =
           ChooseOwner(ranked[i], mergers[i].owners, owned, max_groups);
