--- a/src/consensus/raft.cc
+++ b/src/consensus/raft.cc
@@ -84,7 +84,7 @@
     return true;
   }
   const auto it = progress_.find(id);
-  return it != progress_.end() && now - it->second.last_heard < options_.election_timeout;
+  return it != progress_.end() && now - it->second.last_contact < options_.election_timeout;
 }
 
 bool Raft::HeardSince(MemberId id, Timestamp since) const {
@@ -144,7 +144,7 @@
 
 RaftOutput Raft::TakeOutput() {
   if (!failure_.ok()) {
-    // What was not synced must not be spoken of.
+    // Messages must not refer to state that was not synced.
     output_ = {};
   }
   return std::exchange(output_, {});
@@ -164,7 +164,7 @@
       next_heartbeat_ = now + options_.heartbeat_interval;
       ReplicateToAll(now, true);
     }
-    AnswerReads(now);
+    CompleteReads(now);
     return;
   }
   if (now >= election_deadline_ && IsVoter(self_)) {
@@ -173,14 +173,14 @@
 }
 
 void Raft::StepDownWithoutQuorum(Timestamp now) {
-  std::set<MemberId> heard = {self_};
+  std::set<MemberId> active_members = {self_};
   for (const auto& [id, progress] : progress_) {
-    if (now - progress.last_heard < 2 * options_.election_timeout) {
-      heard.insert(id);
+    if (now - progress.last_contact < 2 * options_.election_timeout) {
+      active_members.insert(id);
     }
   }
   const bool removed = !IsVoter(self_) && MembersCommitted();
-  if (!IsQuorum(heard) || removed) {
+  if (!IsQuorum(active_members) || removed) {
     BecomeFollower(now, hard_state_.term, 0);
   }
 }
@@ -203,7 +203,7 @@
   }
   if (message.term < hard_state_.term) {
     if (message.type == RaftMessageType::kAppend || message.type == RaftMessageType::kSnapshot) {
-      // Tells a deposed leader the newer term.
+      // Notifies a deposed leader of the newer term.
       RaftMessage reply = MakeMessage(RaftMessageType::kAppendReply, message.from);
       reply.reject = true;
       Send(std::move(reply));
@@ -265,8 +265,9 @@
   if (!options_.lease_check) {
     return true;
   }
-  // The lease counts from when the acknowledged message was sent: its receivers refuse to vote
-  // for an election timeout from a later moment. A leader reads only what its own term committed.
+  // The lease starts when the acknowledged message was sent; its receivers refuse to vote for an
+  // election timeout from its arrival, which is later. A leader serves reads only after it has
+  // committed an entry of its own term.
   const auto length =
       std::chrono::duration_cast<Duration>(options_.election_timeout * options_.lease_fraction);
   return TermAt(commit_index_) == hard_state_.term && now < LeaseStart(now) + length;
@@ -275,7 +276,7 @@
 void Raft::RequestRead(Timestamp now, uint64_t ticket) {
   if (role_ == Role::kLeader) {
     pending_reads_.push_back({self_, ticket, commit_index_, now});
-    AnswerReads(now);
+    CompleteReads(now);
   } else if (leader_ != 0) {
     RaftMessage message = MakeMessage(RaftMessageType::kReadIndex, leader_);
     message.context = ticket;
@@ -286,25 +287,25 @@
 void Raft::HandleReadIndex(Timestamp now, const RaftMessage& message) {
   if (role_ == Role::kLeader) {
     pending_reads_.push_back({message.from, message.context, commit_index_, now});
-    AnswerReads(now);
+    CompleteReads(now);
   }
 }
 
-void Raft::AnswerReads(Timestamp now) {
+void Raft::CompleteReads(Timestamp now) {
   if (pending_reads_.empty() || TermAt(commit_index_) != hard_state_.term) {
     return;
   }
   const Timestamp confirmed = LeaseStart(now);
   const bool lease = HasLease(now);
-  std::vector<PendingRead> waiting;
+  std::vector<PendingRead> still_pending;
   for (const PendingRead& read : pending_reads_) {
-    // Either the lease holds now, or a quorum has acknowledged a message sent after the read
-    // began: both prove that no newer leader had committed anything when it began.
+    // Either the lease is valid now, or a quorum has acknowledged a message sent after the read
+    // began. Both prove that no newer leader had committed anything by then.
     const bool proven = lease || confirmed >= read.started;
     const uint64_t index = std::max(read.index, snapshot_.index);
     if (!proven) {
       if (now - read.started < 4 * options_.election_timeout) {
-        waiting.push_back(read);
+        still_pending.push_back(read);
       }
     } else if (read.origin == self_) {
       ready_reads_.push_back({read.ticket, commit_index_});
@@ -315,7 +316,7 @@
       Send(std::move(reply));
     }
   }
-  pending_reads_ = std::move(waiting);
+  pending_reads_ = std::move(still_pending);
 }
 
 std::vector<Raft::ReadReady> Raft::TakeReads() { return std::exchange(ready_reads_, {}); }
--- a/src/consensus/raft.h
+++ b/src/consensus/raft.h
@@ -2,8 +2,9 @@
 // leases checked again after a read, log truncation by snapshots, non-voting members,
 // single-server membership change and leadership transfer.
 //
-// No clock, socket or thread: the owner passes the time in and takes messages and committed
-// entries out. Durable state goes to LogStorage; nothing is sent that is not synced first.
+// Has no clock, socket or thread. The owner passes the time in and takes messages and committed
+// entries out. Durable state goes to LogStorage, and is synced before any message that depends on
+// it is sent.
 #pragma once
 
 #include <cstdint>
@@ -25,15 +26,17 @@
 
 struct RaftOptions {
   Duration heartbeat_interval = Milliseconds(50);
-  /// Shortest time without a leader before a follower stands for election; the longest is twice it.
+  /// Minimum time without a leader before a follower starts an election; the maximum is twice that.
   Duration election_timeout = Milliseconds(300);
-  /// Part of the election timeout a lease lasts: clocks may differ in rate by up to 10%.
+  /// Duration of a lease as a fraction of the election timeout. Leaves room for clocks that differ
+  /// in rate by up to 10%.
   double lease_fraction = 0.75;
   size_t max_entries_per_message = 256;
   size_t max_bytes_per_message = 1 << 20;
-  /// Off only in simulations that show what the check is for.
+  /// False only in simulations that show what the check prevents.
   bool lease_check = true;
-  /// As above: off, a follower takes a leader's word for a majority's.
+  /// False only in such simulations: a follower then accepts any message of a leader as a proof of
+  /// being current, without the confirmation of a majority.
   bool proof_check = true;
 };
 
@@ -51,7 +54,7 @@
   std::string state;
 };
 
-/// What one call made the replica do. Taken with TakeOutput(); order matters: restore, then apply.
+/// Results of the calls since the last TakeOutput(). The owner restores first, then applies.
 struct RaftOutput {
   std::vector<wire::RaftMessage> messages;
   std::optional<RestoredSnapshot> restored;
@@ -60,23 +63,23 @@
 
 class Raft {
  public:
-  /// @param storage must already hold `recovered`; outlives this object.
+  /// @param storage must already hold `recovered` and must outlive this object.
   Raft(MemberId self, RaftOptions options, storage::LogStorage* storage,
        storage::RecoveredState recovered, uint64_t seed, Timestamp now);
 
   void Tick(Timestamp now);
   void Receive(Timestamp now, const wire::RaftMessage& message);
 
-  /// Appends a command. @return its index, or kNotLeader.
+  /// Appends a command. @return its log index, or kNotLeader.
   absl::StatusOr<uint64_t> Propose(Timestamp now, std::string command);
-  /// Replaces the membership by one that differs in one member at most.
+  /// Replaces the membership by one that differs in at most one member.
   /// @return kNotLeader, or kRevisionConflict while an earlier change is not committed.
   absl::StatusOr<uint64_t> ProposeMembers(Timestamp now, const std::vector<wire::Member>& members);
-  /// Asks the most caught-up voter to take over.
+  /// Transfers leadership to the reachable voter with the longest log.
   void TransferLeadership(Timestamp now);
 
-  /// Starts a linearizable read. The answer comes by TakeReads(); nothing comes if the leader is
-  /// lost, so the caller repeats it.
+  /// Starts a linearizable read, which TakeReads() returns once it is ready. A read is dropped if
+  /// the leader is lost, so the caller must retry.
   void RequestRead(Timestamp now, uint64_t ticket);
   struct ReadReady {
     uint64_t ticket;
@@ -88,17 +91,19 @@
   /// True while no other leader can have been elected; check again after a read, before replying.
   bool HasLease(Timestamp now) const;
 
-  /// Everything that anybody can have been told is committed by then is committed here, on this
-  /// machine's clock. Proved by a majority, not by a leader's lease: it holds however long messages
-  /// were under way, whoever was cut off or stood still. @return nothing before the first proof.
+  /// Returns the latest time, on this machine's clock, up to which this replica is proved current:
+  /// all that any process can have been told is committed by then is committed here. A majority
+  /// proves it, not a leader's lease, so it holds regardless of message delays, partitions and
+  /// paused processes. @return nullopt before the first proof.
   std::optional<Timestamp> ProvenAt(Timestamp now) const;
 
-  /// Replaces the log up to `index` by the state machine's image at that index.
+  /// Replaces the log up to `index` by `state`, the state machine's image at that index.
   absl::Status Compact(uint64_t index, std::string state);
 
   RaftOutput TakeOutput();
 
-  /// Set once a write to the data folder failed: the replica does nothing any more and must stop.
+  /// Set once a write to the data folder has failed. The replica then ignores all calls and must be
+  /// stopped.
   const absl::Status& failure() const { return failure_; }
 
   MemberId self() const { return self_; }
@@ -112,11 +117,11 @@
   bool IsMember(MemberId id) const;
   bool IsVoter(MemberId id) const;
   bool MembersCommitted() const { return members_index_ <= commit_index_; }
-  /// Last index known to be synced at a member; only a leader knows.
+  /// Leader: last index known to be synced at a member.
   uint64_t MatchIndex(MemberId id) const;
-  /// Leader: whether the member has answered a message that was sent at `since` or later.
+  /// Leader: whether the member has acknowledged a message that was sent at `since` or later.
   bool HeardSince(MemberId id, Timestamp since) const;
-  /// Leader: whether the member has answered within an election timeout.
+  /// Leader: whether the member has replied within the last election timeout.
   bool RecentlyHeard(MemberId id, Timestamp now) const;
 
  private:
@@ -125,17 +130,17 @@
     uint64_t next = 1;
     /// Send time of the newest append the member has acknowledged in this term.
     Timestamp acknowledged{};
-    Timestamp last_heard{};
+    Timestamp last_contact{};
     /// An unacknowledged snapshot is not sent again before this.
     Timestamp snapshot_retry{};
     bool probing = true;
-    /// The member's newest mark (raft_proof.cc), and when it came.
+    /// The member's newest clock stamp (raft_proof.cc), and when it arrived.
     uint64_t stamp = 0;
-    Timestamp stamped{};
+    Timestamp stamp_received{};
   };
-  /// Becomes a proof once this replica has committed all that the leader had then.
+  /// Becomes a proof of being current up to `cutoff` once this replica has committed `commit`.
   struct PendingProof {
-    Timestamp moment;
+    Timestamp cutoff;
     uint64_t commit = 0;
   };
   struct PendingRead {
@@ -148,31 +153,33 @@
   // Elections.
   void BecomeFollower(Timestamp now, uint64_t term, MemberId leader);
   void StartPreVote(Timestamp now);
-  /// Why a replica stands for election; goes with its request for votes.
+  /// Why a replica starts an election. Sent with its request for votes.
   enum class ElectionCause : uint64_t {
-    /// No leader was heard for an election timeout.
-    kSilence = 0,
-    /// The old leader has given its lease up: voters need not wait it out.
+    /// No message of a leader arrived for an election timeout.
+    kLeaderTimeout = 0,
+    /// The old leader has given up its lease, so voters need not wait for the lease to expire.
     kTransfer = 1,
-    /// The old leader has restarted: voters that restarted need not wait its lease out.
+    /// The old leader has restarted and holds no lease, so voters that restarted need not wait.
     kLeaderRestarted = 2,
   };
   void StartElection(Timestamp now, ElectionCause cause);
-  /// Stands for election if the pre-votes so far promise that it can be won. @return whether.
-  bool StandIfPromised(Timestamp now);
-  /// The voters when the leader of this term was elected; empty if the log does not tell.
+  /// Starts an election if the pre-votes so far show that it can be won. @return true if started.
+  bool StartElectionIfWinnable(Timestamp now);
+  /// Returns the voters at the time the leader of this term was elected; empty if the log does not
+  /// show it.
   std::set<MemberId> Electorate() const;
-  /// Just started, and no leader was heard yet.
-  bool Starting(Timestamp now) const;
-  /// Restarted so recently that a lease which this replica helped may still last.
-  bool RestartGuards(Timestamp now) const;
+  /// Whether this replica has just started and has not heard from a leader yet.
+  bool IsStarting(Timestamp now) const;
+  /// Whether this replica restarted so recently that a lease it acknowledged before may still be
+  /// valid.
+  bool MustGuardLeaseAfterRestart(Timestamp now) const;
   void BecomeLeader(Timestamp now);
   void HandleVoteRequest(Timestamp now, const wire::RaftMessage& message);
   void HandleVoteReply(Timestamp now, const wire::RaftMessage& message);
-  bool LogIsAsRecent(const wire::RaftMessage& message) const;
-  void SetElectionTimer(Timestamp now, Duration shortest);
+  bool LogIsUpToDate(const wire::RaftMessage& message) const;
+  void SetElectionTimer(Timestamp now, Duration min_timeout);
   void ResetElectionTimer(Timestamp now);
-  /// Until the next pre-vote of a replica that hears no leader.
+  /// Sets the time of the next pre-vote of a replica that has no leader.
   void ResetPreVoteTimer(Timestamp now);
   bool IsQuorum(const std::set<MemberId>& granted) const;
 
@@ -190,16 +197,16 @@
 
   // Reads.
   void HandleReadIndex(Timestamp now, const wire::RaftMessage& message);
-  void AnswerReads(Timestamp now);
+  void CompleteReads(Timestamp now);
   Timestamp LeaseStart(Timestamp now) const;
 
   // Proofs.
-  /// Leader: when it was last known to lead by word of a majority.
-  std::optional<Timestamp> Confirmed(Timestamp now) const;
-  void NoteStamp(Timestamp now, const wire::RaftMessage& reply, Progress* progress);
+  /// Leader: the latest time at which a majority confirmed its leadership.
+  std::optional<Timestamp> QuorumConfirmedAt(Timestamp now) const;
+  void RecordStamp(Timestamp now, const wire::RaftMessage& reply, Progress* progress);
   void FillProof(Timestamp now, const Progress& progress, wire::RaftMessage* message) const;
-  void TakeProof(Timestamp now, const wire::RaftMessage& message);
-  void SettleProof();
+  void ReceiveProof(Timestamp now, const wire::RaftMessage& message);
+  void CompletePendingProof();
   uint64_t StampOf(Timestamp now) const;
 
   // The log.
@@ -232,14 +239,14 @@
   Timestamp election_deadline_;
   Timestamp next_heartbeat_;
   Timestamp started_;
-  /// Last time a leader was heard; votes are refused for an election timeout after it.
-  std::optional<Timestamp> leader_heard_;
+  /// Last contact by a leader. Votes are refused for an election timeout after it.
+  std::optional<Timestamp> last_leader_contact_;
   std::set<MemberId> votes_;
-  /// Pre-votes: those that would vote but for their own restart.
-  RestartedVotes restarted_;
+  /// Pre-votes that were refused only because the voter has restarted.
+  RestartedVotes restarted_votes_;
   std::map<MemberId, Progress> progress_;
-  /// Marks of this life of the process begin at a random number: an echo of one of an earlier life
-  /// is known by its place far off.
+  /// Random offset of this incarnation's clock stamps. An echoed stamp of an earlier incarnation is
+  /// recognized because it lies far outside this incarnation's range.
   uint64_t stamp_base_;
   std::optional<Timestamp> proven_at_;
   std::optional<PendingProof> pending_proof_;
@@ -249,7 +256,7 @@
   absl::Status failure_;
 };
 
-/// Encoding of a membership entry.
+/// Encodes the data of a membership entry.
 std::string EncodeMembers(const std::vector<wire::Member>& members);
 std::vector<wire::Member> DecodeMembers(const std::string& bytes);
 
--- a/src/consensus/raft_election.cc
+++ b/src/consensus/raft_election.cc
@@ -1,4 +1,4 @@
-// Elections: the part of Raft that decides who leads.
+// Raft: leader election.
 #include <algorithm>
 #include <utility>
 
@@ -13,13 +13,13 @@
 
 namespace {
 
-/// A replica that starts and hears no leader stands for election this many times sooner, for this
-/// many election timeouts.
-constexpr int kStartingHaste = 8;
-constexpr int kStartingTimeouts = 15;
-/// `context` of a rejected pre-vote: the voter restarted and has heard no leader since; `log_index`
-/// is the vote that it gave in `term`.
-constexpr uint64_t kRestarted = 1;
+/// A replica that has just started and has no leader divides its election timeout by
+/// kStartupTimeoutDivisor, for the first kStartupTimeouts election timeouts.
+constexpr int kStartupTimeoutDivisor = 8;
+constexpr int kStartupTimeouts = 15;
+/// `context` of a rejected pre-vote: the voter has restarted and has had no contact with a leader
+/// since. `log_index` is then the vote that it cast in `term`.
+constexpr uint64_t kVoterRestarted = 1;
 
 }  // namespace
 
@@ -33,28 +33,28 @@
   return voters > 0 && yes > voters / 2;
 }
 
-bool Raft::Starting(Timestamp now) const {
-  return !leader_heard_.has_value() && role_ != Role::kLeader &&
-         now - started_ < kStartingTimeouts * options_.election_timeout;
+bool Raft::IsStarting(Timestamp now) const {
+  return !last_leader_contact_.has_value() && role_ != Role::kLeader &&
+         now - started_ < kStartupTimeouts * options_.election_timeout;
 }
 
-void Raft::SetElectionTimer(Timestamp now, Duration shortest) {
-  std::uniform_int_distribution<int64_t> spread(0, shortest.count());
-  election_deadline_ = now + shortest + Duration(spread(random_));
+void Raft::SetElectionTimer(Timestamp now, Duration min_timeout) {
+  std::uniform_int_distribution<int64_t> spread(0, min_timeout.count());
+  election_deadline_ = now + min_timeout + Duration(spread(random_));
 }
 
 void Raft::ResetElectionTimer(Timestamp now) { SetElectionTimer(now, options_.election_timeout); }
 
 void Raft::ResetPreVoteTimer(Timestamp now) {
-  // All may have restarted together: whoever asks for pre-votes soon shortens the pause, and
-  // pre-votes disturb no leader that is there.
-  const Duration hasty = options_.election_timeout / kStartingHaste;
-  SetElectionTimer(now, Starting(now) ? hasty : options_.election_timeout);
+  // All replicas may have restarted together. Early pre-votes shorten the time without a leader,
+  // and they do not disturb an existing one.
+  const Duration startup_timeout = options_.election_timeout / kStartupTimeoutDivisor;
+  SetElectionTimer(now, IsStarting(now) ? startup_timeout : options_.election_timeout);
 }
 
-bool Raft::RestartGuards(Timestamp now) const {
-  // Term 0 has had no leader.
-  return hard_state_.term > 0 && !leader_heard_.has_value() &&
+bool Raft::MustGuardLeaseAfterRestart(Timestamp now) const {
+  // Term 0 never has a leader.
+  return hard_state_.term > 0 && !last_leader_contact_.has_value() &&
          now - started_ < options_.election_timeout;
 }
 
@@ -77,14 +77,14 @@
   role_ = Role::kPreCandidate;
   leader_ = 0;
   votes_.clear();
-  restarted_.clear();
-  if (RestartGuards(now)) {
-    restarted_[self_] = hard_state_.vote;
+  restarted_votes_.clear();
+  if (MustGuardLeaseAfterRestart(now)) {
+    restarted_votes_[self_] = hard_state_.vote;
   } else {
     votes_.insert(self_);
   }
   ResetPreVoteTimer(now);
-  if (StandIfPromised(now)) {
+  if (StartElectionIfWinnable(now)) {
     return;
   }
   for (MemberId id : OtherMembers(true)) {
@@ -97,7 +97,8 @@
 }
 
 std::set<MemberId> Raft::Electorate() const {
-  // A log that ends in this term began it as its leader's log did, members included.
+  // A log whose last entry is of this term equals the leader's log up to the start of the term,
+  // including the membership.
   const bool from_leader = TermAt(last_index()) == hard_state_.term;
   if (!from_leader || snapshot_.term >= hard_state_.term) {
     return {};
@@ -117,16 +118,16 @@
   return voters;
 }
 
-bool Raft::StandIfPromised(Timestamp now) {
+bool Raft::StartElectionIfWinnable(Timestamp now) {
   if (IsQuorum(votes_)) {
-    StartElection(now, ElectionCause::kSilence);
+    StartElection(now, ElectionCause::kLeaderTimeout);
     return true;
   }
   std::set<MemberId> all = votes_;
-  for (const auto& [id, vote] : restarted_) {
+  for (const auto& [id, vote] : restarted_votes_) {
     all.insert(id);
   }
-  if (IsQuorum(all) && LeaseIsVoid(restarted_, Electorate())) {
+  if (IsQuorum(all) && LeaseIsVoid(restarted_votes_, Electorate())) {
     StartElection(now, ElectionCause::kLeaderRestarted);
     return true;
   }
@@ -155,7 +156,7 @@
   }
 }
 
-bool Raft::LogIsAsRecent(const RaftMessage& message) const {
+bool Raft::LogIsUpToDate(const RaftMessage& message) const {
   const uint64_t last_term = TermAt(last_index()).value_or(0);
   return message.log_term > last_term ||
          (message.log_term == last_term && message.log_index >= last_index());
@@ -163,22 +164,22 @@
 
 void Raft::HandleVoteRequest(Timestamp now, const RaftMessage& message) {
   const bool pre_vote = message.type == RaftMessageType::kPreVote;
-  const auto cause = pre_vote ? ElectionCause::kSilence : ElectionCause{message.context};
-  // A voter that heard a leader within the election timeout stands by that leader's lease.
-  const bool leader_alive =
-      role_ == Role::kLeader
-          ? HasLease(now)
-          : leader_heard_.has_value() && now - *leader_heard_ < options_.election_timeout;
+  const auto cause = pre_vote ? ElectionCause::kLeaderTimeout : ElectionCause{message.context};
+  // A voter protects the lease of a leader that contacted it within the last election timeout.
+  const bool leader_alive = role_ == Role::kLeader
+                                ? HasLease(now)
+                                : last_leader_contact_.has_value() &&
+                                      now - *last_leader_contact_ < options_.election_timeout;
   const auto reply_type = pre_vote ? RaftMessageType::kPreVoteReply : RaftMessageType::kVoteReply;
-  const bool stands_by_leader = leader_alive && cause != ElectionCause::kTransfer;
-  const bool guards = RestartGuards(now) && cause == ElectionCause::kSilence;
-  const bool protects_lease = (stands_by_leader || guards) && options_.lease_check;
+  const bool protects_leader = leader_alive && cause != ElectionCause::kTransfer;
+  const bool guards = MustGuardLeaseAfterRestart(now) && cause == ElectionCause::kLeaderTimeout;
+  const bool protects_lease = (protects_leader || guards) && options_.lease_check;
   if (message.term < hard_state_.term || protects_lease) {
-    const bool tells_vote = pre_vote && guards && !stands_by_leader && LogIsAsRecent(message);
-    if (tells_vote) {
+    const bool reports_vote = pre_vote && guards && !protects_leader && LogIsUpToDate(message);
+    if (reports_vote) {
       RaftMessage reply = MakeMessage(reply_type, message.from);
       reply.reject = true;
-      reply.context = kRestarted;
+      reply.context = kVoterRestarted;
       reply.log_index = hard_state_.vote;
       Send(std::move(reply));
       return;
@@ -190,7 +191,7 @@
   }
   if (pre_vote) {
     RaftMessage reply = MakeMessage(reply_type, message.from);
-    reply.reject = !LogIsAsRecent(message);
+    reply.reject = !LogIsUpToDate(message);
     reply.term = reply.reject ? hard_state_.term : message.term;
     Send(std::move(reply));
     return;
@@ -199,7 +200,7 @@
     BecomeFollower(now, message.term, 0);
   }
   const bool free_to_vote = hard_state_.vote == 0 || hard_state_.vote == message.from;
-  const bool grant = free_to_vote && role_ == Role::kFollower && LogIsAsRecent(message);
+  const bool grant = free_to_vote && role_ == Role::kFollower && LogIsUpToDate(message);
   if (grant) {
     hard_state_.vote = message.from;
     ResetElectionTimer(now);
@@ -219,10 +220,10 @@
   if (message.reject) {
     if (message.term > hard_state_.term) {
       BecomeFollower(now, message.term, 0);
-    } else if (pre_vote && role_ == Role::kPreCandidate && message.context == kRestarted &&
+    } else if (pre_vote && role_ == Role::kPreCandidate && message.context == kVoterRestarted &&
                message.term == hard_state_.term) {
-      restarted_[message.from] = message.log_index;
-      StandIfPromised(now);
+      restarted_votes_[message.from] = message.log_index;
+      StartElectionIfWinnable(now);
     }
     return;
   }
@@ -231,7 +232,7 @@
   }
   votes_.insert(message.from);
   if (pre_vote) {
-    StandIfPromised(now);
+    StartElectionIfWinnable(now);
   } else if (IsQuorum(votes_)) {
     BecomeLeader(now);
   }
@@ -244,7 +245,7 @@
   for (MemberId id : OtherMembers(false)) {
     Progress& progress = progress_[id];
     progress.next = last_index() + 1;
-    progress.last_heard = now;
+    progress.last_contact = now;
   }
   next_heartbeat_ = now;
   // Entries of earlier terms commit only below one of this term (Raft section 5.4.2).
@@ -266,7 +267,7 @@
   }
   ReplicateTo(now, best, false);
   Send(MakeMessage(RaftMessageType::kTimeoutNow, best));
-  // The lease is given up together with the office: the successor's voters do not wait for it.
+  // Stepping down also gives up the lease: the voters for the successor do not wait for it.
   BecomeFollower(now, hard_state_.term, 0);
 }
 
--- a/src/consensus/raft_proof.cc
+++ b/src/consensus/raft_proof.cc
@@ -1,10 +1,10 @@
-// Proofs of being current: the part of Raft that says up to which moment a replica misses nothing.
+// Raft: proofs of being current, which establish up to what time a replica has all commits.
 //
-// A replica puts a mark of its clock into each answer to the leader. The leader sends the newest
-// mark back, with how long before its arrival a majority was last known to follow it: that moment
-// lies after whatever was acknowledged before, by this leader or an earlier one, and a later one
-// can only have been elected since. So the time of the mark, less that lag, is a proof, once all
-// that the leader had committed is committed here.
+// A replica puts a stamp of its clock into each reply to the leader. The leader echoes the newest
+// stamp, together with the proof lag: how long before the stamp's arrival a majority was last known
+// to follow the leader. At that time all commits acknowledged earlier, by this leader or a previous
+// one, were known to the leader; a newer leader can only have been elected later. So the time of
+// the stamp less the lag is a proof, once the replica has committed all that the leader had.
 #include <algorithm>
 
 #include "consensus/raft.h"
@@ -17,8 +17,8 @@
   return stamp_base_ + static_cast<uint64_t>(now.time_since_epoch().count());
 }
 
-std::optional<Timestamp> Raft::Confirmed(Timestamp now) const {
-  // What leaders before it committed is known to be committed only with an entry of its own.
+std::optional<Timestamp> Raft::QuorumConfirmedAt(Timestamp now) const {
+  // A leader knows all commits of earlier leaders only once it has committed an entry of its own.
   if (role_ != Role::kLeader || TermAt(commit_index_) != hard_state_.term) {
     return std::nullopt;
   }
@@ -28,51 +28,52 @@
 
 std::optional<Timestamp> Raft::ProvenAt(Timestamp now) const {
   if (role_ != Role::kLeader) {
-    return options_.proof_check && options_.lease_check ? proven_at_ : leader_heard_;
+    return options_.proof_check && options_.lease_check ? proven_at_ : last_leader_contact_;
   }
   if (!options_.lease_check) {
     return now;
   }
-  // What this replica proved before it was elected goes on to hold.
-  return std::max(Confirmed(now), proven_at_);
+  // A proof from before this replica was elected stays valid.
+  return std::max(QuorumConfirmedAt(now), proven_at_);
 }
 
-void Raft::NoteStamp(Timestamp now, const RaftMessage& reply, Progress* progress) {
+void Raft::RecordStamp(Timestamp now, const RaftMessage& reply, Progress* progress) {
   if (reply.stamp != 0) {
     progress->stamp = reply.stamp;
-    progress->stamped = now;
+    progress->stamp_received = now;
   }
 }
 
 void Raft::FillProof(Timestamp now, const Progress& progress, RaftMessage* message) const {
-  const std::optional<Timestamp> confirmed = Confirmed(now);
+  const std::optional<Timestamp> confirmed = QuorumConfirmedAt(now);
   if (progress.stamp == 0 || !confirmed.has_value()) {
     return;
   }
   message->stamp = progress.stamp;
-  message->proof_lag = std::max(Duration(0), progress.stamped - *confirmed);
+  message->proof_lag = std::max(Duration(0), progress.stamp_received - *confirmed);
 }
 
-void Raft::TakeProof(Timestamp now, const RaftMessage& message) {
+void Raft::ReceiveProof(Timestamp now, const RaftMessage& message) {
   if (message.stamp == 0) {
     return;
   }
-  const Timestamp marked{Duration(static_cast<int64_t>(message.stamp - stamp_base_))};
-  const bool of_this_life = marked >= started_ && marked <= now;
-  if (!of_this_life || message.proof_lag.count() < 0) {
+  const Timestamp stamp_time{Duration(static_cast<int64_t>(message.stamp - stamp_base_))};
+  const bool of_this_incarnation = stamp_time >= started_ && stamp_time <= now;
+  if (!of_this_incarnation || message.proof_lag.count() < 0) {
     return;
   }
-  // The oldest that waits is settled first; a leader that commits all the time must not push it on.
+  // The oldest pending proof is kept. If newer ones replaced it, a leader that commits all the time
+  // would postpone it forever.
   if (!pending_proof_.has_value()) {
-    pending_proof_ = {marked - message.proof_lag, message.commit};
+    pending_proof_ = {stamp_time - message.proof_lag, message.commit};
   }
 }
 
-void Raft::SettleProof() {
+void Raft::CompletePendingProof() {
   if (!pending_proof_.has_value() || commit_index_ < pending_proof_->commit) {
     return;
   }
-  proven_at_ = std::max(proven_at_, std::optional(pending_proof_->moment));
+  proven_at_ = std::max(proven_at_, std::optional(pending_proof_->cutoff));
   pending_proof_.reset();
 }
 
--- a/src/consensus/raft_replication.cc
+++ b/src/consensus/raft_replication.cc
@@ -1,4 +1,4 @@
-// Replication of the log: the part of Raft that sends, takes and counts entries and snapshots.
+// Raft: log replication, commits and snapshots.
 #include <algorithm>
 #include <utility>
 
@@ -26,7 +26,7 @@
       auto [it, inserted] = progress_.try_emplace(id);
       if (inserted) {
         it->second.next = last_index() + 1;
-        it->second.last_heard = now;
+        it->second.last_contact = now;
       }
     }
   }
@@ -82,7 +82,7 @@
       SendSnapshot(now, id, &progress);
       return;
     }
-    // A bare heartbeat keeps the member from standing for election meanwhile.
+    // A heartbeat without entries keeps the member from starting an election meanwhile.
     progress.next = FirstIndex();
   }
   RaftMessage message = MakeMessage(RaftMessageType::kAppend, id);
@@ -91,8 +91,9 @@
   message.commit = commit_index_;
   message.context = static_cast<uint64_t>(now.time_since_epoch().count());
   FillProof(now, progress, &message);
-  // A member that says nothing gets bare heartbeats; its first answer starts the replication. What
-  // is sent to a member behind a cut piles up and comes all at once when the cut heals.
+  // A member that does not reply gets heartbeats without entries; its first reply starts the
+  // replication. Otherwise entries to a partitioned member would queue up and arrive all at once
+  // when the partition heals.
   const bool may_carry_entries = !progress.probing || (heartbeat && RecentlyHeard(id, now));
   size_t bytes = 0;
   for (uint64_t index = progress.next; may_carry_entries && index <= last_index(); ++index) {
@@ -109,7 +110,7 @@
     return;
   }
   if (!progress.probing) {
-    // Optimistic: a lost message shows as a reject and turns the member back to probing.
+    // Optimistic: a lost message causes a reject, which sets the member back to probing.
     progress.next += message.entries.size();
   }
   Send(std::move(message));
@@ -120,8 +121,8 @@
     return;
   }
   BecomeFollower(now, message.term, message.from);
-  leader_heard_ = now;
-  TakeProof(now, message);
+  last_leader_contact_ = now;
+  ReceiveProof(now, message);
   RaftMessage reply = MakeMessage(RaftMessageType::kAppendReply, message.from);
   reply.context = message.context;
   reply.stamp = StampOf(now);
@@ -133,24 +134,24 @@
     Send(std::move(reply));
     return;
   }
-  std::vector<LogEntry> fresh;
+  std::vector<LogEntry> new_entries;
   for (const LogEntry& entry : message.entries) {
     if (entry.index <= snapshot_.index) {
       continue;
     }
-    if (fresh.empty() && TermAt(entry.index) == entry.term) {
+    if (new_entries.empty() && TermAt(entry.index) == entry.term) {
       continue;
     }
-    if (fresh.empty()) {
+    if (new_entries.empty()) {
       TruncateFrom(entry.index);
     }
-    fresh.push_back(entry);
+    new_entries.push_back(entry);
   }
-  if (!fresh.empty()) {
-    if (!Persist(storage_->Append(fresh)) || !Persist(storage_->Sync())) {
+  if (!new_entries.empty()) {
+    if (!Persist(storage_->Append(new_entries)) || !Persist(storage_->Sync())) {
       return;
     }
-    for (LogEntry& entry : fresh) {
+    for (LogEntry& entry : new_entries) {
       if (entry.kind == EntryKind::kMembership) {
         members_ = DecodeMembers(entry.data);
         members_index_ = entry.index;
@@ -158,12 +159,12 @@
       entries_.push_back(std::move(entry));
     }
   }
-  // Only what this message vouches for is known to equal the leader's log; a suffix beyond it may
-  // be left over from another term.
+  // Only the log up to the end of this message is known to equal the leader's log; a suffix beyond
+  // it may be left over from another term.
   const uint64_t verified = message.log_index + message.entries.size();
   reply.log_index = std::max(verified, snapshot_.index);
   SetCommit(std::min(message.commit, reply.log_index));
-  SettleProof();
+  CompletePendingProof();
   Send(std::move(reply));
 }
 
@@ -176,16 +177,16 @@
     return;
   }
   Progress& progress = it->second;
-  progress.last_heard = now;
+  progress.last_contact = now;
   const Timestamp sent{Duration(static_cast<int64_t>(message.context))};
   progress.acknowledged = std::max(progress.acknowledged, sent);
-  NoteStamp(now, message, &progress);
+  RecordStamp(now, message, &progress);
   if (message.reject) {
     progress.probing = true;
     progress.next = std::max(progress.match + 1, std::min(progress.next, message.log_index + 1));
     if (message.log_index + 1 < progress.next) {
-      // The member lost what it had acknowledged before (a new incarnation would have a new id),
-      // or the reply is old; the snapshot or the log brings it back either way.
+      // Either the member lost entries that it had acknowledged (a new incarnation would have a new
+      // id), or the reply is old. The snapshot or the log restores the member in both cases.
       progress.next = message.log_index + 1;
     }
     const bool snapshot_under_way = progress.next < FirstIndex() && now < progress.snapshot_retry;
@@ -198,7 +199,7 @@
   const bool was_probing = std::exchange(progress.probing, false);
   progress.next = was_probing ? progress.match + 1 : std::max(progress.next, progress.match + 1);
   AdvanceCommit(now);
-  AnswerReads(now);
+  CompleteReads(now);
   if (progress.next <= last_index()) {
     ReplicateTo(now, message.from, false);
   }
@@ -209,8 +210,8 @@
     return;
   }
   BecomeFollower(now, message.term, message.from);
-  leader_heard_ = now;
-  TakeProof(now, message);
+  last_leader_contact_ = now;
+  ReceiveProof(now, message);
   RaftMessage reply = MakeMessage(RaftMessageType::kAppendReply, message.from);
   reply.context = message.context;
   reply.stamp = StampOf(now);
@@ -232,7 +233,7 @@
     RecomputeMembers();
     output_.applied.clear();
     output_.restored = RestoredSnapshot{snapshot_.index, snapshot_.state};
-    SettleProof();
+    CompletePendingProof();
   }
   reply.log_index = std::max(message.snapshot.index, snapshot_.index);
   Send(std::move(reply));
@@ -254,7 +255,7 @@
     return;
   }
   SetCommit(quorum_index);
-  // Followers learn the new commit index now rather than at the next heartbeat.
+  // Sends the new commit index to the followers now rather than with the next heartbeat.
   ReplicateToAll(now, true);
   next_heartbeat_ = now + options_.heartbeat_interval;
 }
--- a/test/consensus/raft_test.cc
+++ b/test/consensus/raft_test.cc
@@ -1,4 +1,4 @@
-// The replicated log, three replicas in one process on simulated disks.
+// Tests of the replicated log: three replicas in one process on simulated disks.
 #include "consensus/raft.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -17,7 +17,7 @@
 
 constexpr Duration kStep = Milliseconds(10);
 
-/// Replicas 1 to 3 and a network that delivers at once, except from and to cut-off ones.
+/// Replicas 1 to 3 and a network that delivers at once, except from and to isolated replicas.
 class Group {
  public:
   Group() {
@@ -70,11 +70,12 @@
       }
       for (const wire::RaftMessage& message : messages) {
         moved = true;
-        if (cut_.contains(message.to)) {
-          entries_into_the_cut_ += message.entries.size();
+        if (isolated_.contains(message.to)) {
+          entries_to_isolated_ += message.entries.size();
         }
-        const bool delivered = replicas_.contains(message.to) && !cut_.contains(message.from) &&
-                               !cut_.contains(message.to) && !mute_.contains(message.from);
+        const bool delivered = replicas_.contains(message.to) &&
+                               !isolated_.contains(message.from) &&
+                               !isolated_.contains(message.to) && !mute_.contains(message.from);
         if (delivered && held_for_ == message.to) {
           held_.push_back(message);
         } else if (delivered) {
@@ -86,7 +87,7 @@
 
   MemberId Leader() const {
     for (const auto& [id, replica] : replicas_) {
-      if (replica.raft->role() == Role::kLeader && !cut_.contains(id)) {
+      if (replica.raft->role() == Role::kLeader && !isolated_.contains(id)) {
         return id;
       }
     }
@@ -107,11 +108,11 @@
 
   Raft& at(MemberId id) { return *replicas_.at(id).raft; }
   std::vector<std::string> applied(MemberId id) { return replicas_.at(id).applied; }
-  void Cut(MemberId id) { cut_.insert(id); }
-  void Heal() { cut_.clear(); }
-  /// Nothing that it says arrives; it hears the others.
+  void Isolate(MemberId id) { isolated_.insert(id); }
+  void Heal() { isolated_.clear(); }
+  /// Drops all messages from the replica; it still receives those of the others.
   void Mute(MemberId id) { mute_.insert(id); }
-  /// What is sent to it stays under way until Release().
+  /// Holds back all messages to the replica until Release().
   void HoldFor(MemberId id) { held_for_ = id; }
   void Release() {
     held_for_ = 0;
@@ -120,8 +121,8 @@
     }
   }
   const std::vector<wire::RaftMessage>& held() const { return held_; }
-  /// Log entries that were sent to members behind a cut.
-  size_t entries_into_the_cut() const { return entries_into_the_cut_; }
+  /// Number of log entries that were sent to isolated members.
+  size_t entries_to_isolated() const { return entries_to_isolated_; }
   Timestamp now() const { return now_; }
   MemberId Other(MemberId id) const { return id % 3 + 1; }
 
@@ -133,17 +134,17 @@
     std::vector<std::string> applied;
   };
   std::map<MemberId, Replica> replicas_;
-  std::set<MemberId> cut_;
+  std::set<MemberId> isolated_;
   std::set<MemberId> mute_;
   MemberId held_for_ = 0;
   std::vector<wire::RaftMessage> held_;
-  size_t entries_into_the_cut_ = 0;
+  size_t entries_to_isolated_ = 0;
   Timestamp now_{Seconds(100)};
 };
 
-bool Proves(Group& group, MemberId id, Timestamp moment) {
+bool Proves(Group& group, MemberId id, Timestamp cutoff) {
   const std::optional<Timestamp> proven = group.at(id).ProvenAt(group.now());
-  return proven.has_value() && *proven > moment;
+  return proven.has_value() && *proven > cutoff;
 }
 
 }  // namespace
@@ -151,23 +152,23 @@
 class RaftTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RaftTest);
   CPPUNIT_TEST(CommandsReachEveryReplicaInOrder);
-  CPPUNIT_TEST(CutOffLeaderLosesItsLeaseBeforeAnotherLeads);
+  CPPUNIT_TEST(IsolatedLeaderLosesItsLeaseBeforeAnotherLeads);
   CPPUNIT_TEST(TransferNeedsNoElectionTimeout);
   CPPUNIT_TEST(LaggingReplicaGetsASnapshot);
-  CPPUNIT_TEST(RestartKeepsWhatWasCommitted);
+  CPPUNIT_TEST(RestartKeepsCommittedEntries);
   CPPUNIT_TEST(MembershipChangesOneByOne);
-  CPPUNIT_TEST(SilentMemberIsSentNoEntriesAgainAndAgain);
+  CPPUNIT_TEST(UnresponsiveMemberIsNotSentEntriesRepeatedly);
   CPPUNIT_TEST(RestartedMajorityWithItsLeaderElectsAtOnce);
-  CPPUNIT_TEST(RestartedMajorityWithoutTheLeaderWaitsItsLeaseOut);
-  CPPUNIT_TEST(EveryReplicaProvesThatItIsCurrentAllTheTime);
-  CPPUNIT_TEST(FollowerOfALeaderThatHearsNobodyProvesNothing);
-  CPPUNIT_TEST(WordThatWasLongUnderWayProvesOnlyWhenItWasAskedFor);
-  CPPUNIT_TEST(ReplicaThatIsBehindProvesNothingUntilItHasCaughtUp);
-  CPPUNIT_TEST(EchoOfAnEarlierLifeProvesNothing);
+  CPPUNIT_TEST(RestartedMajorityWithoutTheLeaderWaitsForItsLease);
+  CPPUNIT_TEST(EveryReplicaContinuouslyProvesThatItIsCurrent);
+  CPPUNIT_TEST(FollowerOfALeaderWithoutQuorumProvesNothing);
+  CPPUNIT_TEST(DelayedMessageProvesOnlyTheTimeOfItsStamp);
+  CPPUNIT_TEST(LaggingReplicaProvesNothingUntilItHasCaughtUp);
+  CPPUNIT_TEST(EchoOfAnEarlierIncarnationProvesNothing);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void EveryReplicaProvesThatItIsCurrentAllTheTime() {
+  void EveryReplicaContinuouslyProvesThatItIsCurrent() {
     Group group;
     group.Propose("a");
     for (int i = 0; i < 100; ++i) {
@@ -180,43 +181,43 @@
     }
   }
 
-  /// Others may lead by now: the leader's word alone says nothing.
-  void FollowerOfALeaderThatHearsNobodyProvesNothing() {
+  /// Another replica may lead by then, so messages of the leader alone prove nothing.
+  void FollowerOfALeaderWithoutQuorumProvesNothing() {
     Group group;
     const MemberId leader = group.WaitForLeader();
     group.Propose("a");
-    const Timestamp silent = group.now();
+    const Timestamp cutoff = group.now();
     group.Mute(group.Other(leader));
     group.Mute(group.Other(group.Other(leader)));
     for (int i = 0; i < 50; ++i) {
       group.RunFor(kStep);
       for (MemberId id = 1; id <= 3; ++id) {
-        CPPUNIT_ASSERT(!Proves(group, id, silent));
+        CPPUNIT_ASSERT(!Proves(group, id, cutoff));
       }
     }
     CPPUNIT_ASSERT_EQUAL(leader, group.at(group.Other(leader)).leader());
   }
 
-  /// As for a replica that stood still while the others went on.
-  void WordThatWasLongUnderWayProvesOnlyWhenItWasAskedFor() {
+  /// Same as for a replica that was paused while the others went on.
+  void DelayedMessageProvesOnlyTheTimeOfItsStamp() {
     Group group;
     const MemberId leader = group.WaitForLeader();
-    const MemberId late = group.Other(leader);
+    const MemberId delayed = group.Other(leader);
     group.Propose("a");
-    const Timestamp held = group.now();
-    group.HoldFor(late);
+    const Timestamp cutoff = group.now();
+    group.HoldFor(delayed);
     group.RunFor(Milliseconds(250));
     group.Release();
-    CPPUNIT_ASSERT(group.at(late).ProvenAt(group.now()).has_value());
-    CPPUNIT_ASSERT(!Proves(group, late, held));
+    CPPUNIT_ASSERT(group.at(delayed).ProvenAt(group.now()).has_value());
+    CPPUNIT_ASSERT(!Proves(group, delayed, cutoff));
   }
 
-  void ReplicaThatIsBehindProvesNothingUntilItHasCaughtUp() {
+  void LaggingReplicaProvesNothingUntilItHasCaughtUp() {
     Group group;
     const MemberId leader = group.WaitForLeader();
     const MemberId behind = group.Other(leader);
     group.Propose("a");
-    group.Cut(behind);
+    group.Isolate(behind);
     constexpr size_t kChanges = 600;
     static_assert(kChanges > 2 * RaftOptions{}.max_entries_per_message);
     for (size_t i = 0; i < kChanges; ++i) {
@@ -239,8 +240,8 @@
     CPPUNIT_ASSERT(Proves(group, behind, acknowledged));
   }
 
-  /// The machine was started again, and with it its clock.
-  void EchoOfAnEarlierLifeProvesNothing() {
+  /// The machine has restarted, and with it its clock.
+  void EchoOfAnEarlierIncarnationProvesNothing() {
     Group group;
     const MemberId leader = group.WaitForLeader();
     const MemberId restarted = group.Other(leader);
@@ -258,13 +259,14 @@
     CPPUNIT_ASSERT(group.at(restarted).ProvenAt(group.now()).has_value());
   }
 
-  /// Well before an election timeout is over: nobody can hold the old lease any more.
+  /// No replica can hold the old lease any more, so the election need not wait for an election
+  /// timeout.
   void RestartedMajorityWithItsLeaderElectsAtOnce() {
     Group group;
     const MemberId leader = group.WaitForLeader();
     const MemberId other = group.Other(leader);
     group.Propose("a");
-    group.Cut(group.Other(other));
+    group.Isolate(group.Other(other));
     group.Start(leader);
     group.Start(other);
     const Timestamp start = group.now();
@@ -272,15 +274,15 @@
     CPPUNIT_ASSERT(group.now() - start < RaftOptions{}.election_timeout);
   }
 
-  /// The others restarted, the leader did not: behind a cut it may still rely on its lease.
-  void RestartedMajorityWithoutTheLeaderWaitsItsLeaseOut() {
+  /// The other replicas restarted, the isolated leader did not: it may still rely on its lease.
+  void RestartedMajorityWithoutTheLeaderWaitsForItsLease() {
     Group group;
     const MemberId leader = group.WaitForLeader();
     group.Propose("a");
     const Timestamp start = group.now();
-    group.Cut(leader);
+    group.Isolate(leader);
     group.Start(group.Other(leader));
-    // Not at the same moment: votes that they split would hide an election that is too early.
+    // Not at the same time: a split vote would hide an election that is too early.
     group.RunFor(2 * kStep);
     group.Start(group.Other(group.Other(leader)));
     while (group.at(leader).HasLease(group.now())) {
@@ -291,13 +293,13 @@
     CPPUNIT_ASSERT(group.WaitForLeader() != leader);
   }
 
-  /// A new leader that has never heard of a member behind a cut must not fill the connection to it:
-  /// what piles up there comes all at once when the cut heals.
-  void SilentMemberIsSentNoEntriesAgainAndAgain() {
+  /// A new leader that has had no contact with an isolated member must not send entries to it over
+  /// and over: they would all arrive at once when the partition heals.
+  void UnresponsiveMemberIsNotSentEntriesRepeatedly() {
     Group group;
     const MemberId old_leader = group.WaitForLeader();
     group.Propose("a");
-    group.Cut(old_leader);
+    group.Isolate(old_leader);
     group.RunFor(Seconds(1));
     group.WaitForLeader();
     constexpr int kCommands = 20;
@@ -305,7 +307,7 @@
       group.Propose("b");
     }
     group.RunFor(Seconds(2));
-    CPPUNIT_ASSERT(group.entries_into_the_cut() <= kCommands + 2);
+    CPPUNIT_ASSERT(group.entries_to_isolated() <= kCommands + 2);
     group.Heal();
     group.RunFor(Seconds(1));
     CPPUNIT_ASSERT_EQUAL(size_t{kCommands + 1}, group.applied(old_leader).size());
@@ -320,12 +322,12 @@
     }
   }
 
-  void CutOffLeaderLosesItsLeaseBeforeAnotherLeads() {
+  void IsolatedLeaderLosesItsLeaseBeforeAnotherLeads() {
     Group group;
     const MemberId old_leader = group.WaitForLeader();
     group.RunFor(Milliseconds(200));
     CPPUNIT_ASSERT(group.at(old_leader).HasLease(group.now()));
-    group.Cut(old_leader);
+    group.Isolate(old_leader);
     while (group.Leader() == 0) {
       group.RunFor(kStep);
     }
@@ -348,7 +350,7 @@
     Group group;
     const MemberId leader = group.WaitForLeader();
     const MemberId behind = group.Other(leader);
-    group.Cut(behind);
+    group.Isolate(behind);
     group.Propose("a");
     CPPUNIT_ASSERT(group.at(leader).Compact(group.at(leader).commit_index(), "image").ok());
     group.Heal();
@@ -358,7 +360,7 @@
     CPPUNIT_ASSERT(group.applied(behind) == (std::vector<std::string>{"image", "b"}));
   }
 
-  void RestartKeepsWhatWasCommitted() {
+  void RestartKeepsCommittedEntries() {
     Group group;
     group.Propose("a");
     for (MemberId id = 1; id <= 3; ++id) {
--- a/test/consensus/restart_guard_test.cc
+++ b/test/consensus/restart_guard_test.cc
@@ -1,4 +1,4 @@
-// When replicas that restarted may vote at once.
+// Tests when replicas that restarted may vote at once.
 #include "consensus/restart_guard.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -23,7 +23,7 @@
 class RestartGuardTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RestartGuardTest);
   CPPUNIT_TEST(Table);
-  CPPUNIT_TEST(NeverWhileAnotherMayLead);
+  CPPUNIT_TEST(LeaseIsNotVoidWhileItsLeaderRuns);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -36,13 +36,13 @@
     };
     const Row rows[] = {
         {"nobody", {}, 3, false},
-        {"a majority with its leader", {{1, 1}, {2, 1}}, 3, true},
-        {"the leader is not among them", {{2, 1}, {3, 1}}, 3, false},
-        {"no majority voted alike", {{1, 1}, {2, 2}, {3, 1}}, 5, false},
-        {"a vote more makes it one", {{1, 1}, {2, 2}, {3, 1}, {4, 1}}, 5, true},
-        {"those without a vote elected nobody", {{1, 0}, {2, 0}, {3, 0}}, 3, false},
+        {"a majority including its leader", {{1, 1}, {2, 1}}, 3, true},
+        {"the leader has not restarted", {{2, 1}, {3, 1}}, 3, false},
+        {"no majority for one candidate", {{1, 1}, {2, 2}, {3, 1}}, 5, false},
+        {"one more vote makes a majority", {{1, 1}, {2, 2}, {3, 1}, {4, 1}}, 5, true},
+        {"no votes cast", {{1, 0}, {2, 0}, {3, 0}}, 3, false},
         {"two of four are no majority", {{1, 1}, {2, 1}}, 4, false},
-        {"voters that came later do not count", {{1, 1}, {4, 1}, {5, 1}}, 3, false},
+        {"voters added later do not count", {{1, 1}, {4, 1}, {5, 1}}, 3, false},
     };
     for (const Row& row : rows) {
       CPPUNIT_ASSERT_EQUAL_MESSAGE(row.what, row.lease_is_void,
@@ -50,9 +50,9 @@
     }
   }
 
-  /// Whatever the votes of a term were: if the replica that won it has not restarted, no set of
-  /// others says that its lease is void.
-  void NeverWhileAnotherMayLead() {
+  /// For any votes of a term: if the replica that won it has not restarted, no set of other
+  /// replicas makes its lease void.
+  void LeaseIsNotVoidWhileItsLeaderRuns() {
     const bool holds = rc::check("only the restarted winner voids its lease", [] {
       const auto voters = *rc::gen::inRange<size_t>(1, 8);
       std::map<MemberId, MemberId> votes;
