--- a/src/ledger/ledger.cc
+++ b/src/ledger/ledger.cc
@@ -20,7 +20,7 @@
     return {LedgerVerdict::kHeldByOther, ""};
   }
   if (operation.kind == LedgerOperation::kRelease) {
-    // Only an attempt that knows that nothing of it ran gives its claim back.
+    // An attempt releases its claim only if it knows that none of its work ran.
     if (!it->second.completed) {
       it->second.released.insert(std::exchange(it->second.owner, ""));
     }
@@ -49,7 +49,8 @@
   if (entry.completed) {
     return {LedgerVerdict::kCompleted, entry.outcome};
   }
-  // The same attempt asking again lost the first reply; it has not dispatched anything yet.
+  // A repeated claim of the same attempt means that the first reply was lost; the attempt has not
+  // dispatched anything yet.
   const bool same_attempt = entry.owner == operation.owner;
   return {same_attempt ? LedgerVerdict::kGranted : LedgerVerdict::kHeldByOther, ""};
 }
--- a/src/ledger/ledger.h
+++ b/src/ledger/ledger.h
@@ -1,5 +1,5 @@
-// The at-most-once ledger: which attempt may run the work of an idempotency key, and its outcome.
-// A deterministic state machine over the control log.
+// The at-most-once ledger records which attempt may run the work of an idempotency key, and its
+// outcome. A deterministic state machine over the control log.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace pumicedyke::ledger {
 
-/// A key is remembered this long after its claim; a request that comes with it later counts as new.
+/// A key is retained this long after its claim. A later request with the same key counts as new.
 constexpr int64_t kRetentionMilliseconds = int64_t{7} * 24 * 60 * 60 * 1000;
 
 struct Operation {
@@ -23,7 +23,7 @@
   std::string owner;
   uint64_t fingerprint = 0;
   std::string outcome;
-  /// Wall clock of the leader that proposed it; only retention depends on it.
+  /// Wall clock of the leader that proposed the operation; only retention depends on it.
   int64_t time_ms = 0;
 };
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Operation, kind, key, owner, fingerprint, outcome, time_ms)
@@ -36,8 +36,8 @@
 struct Entry {
   /// Empty while the key is free.
   std::string owner;
-  /// Attempts that gave the key back: a late copy of their claim must not take it again, as nobody
-  /// waits for the verdict any more.
+  /// Attempts that released the key. A late duplicate of their claim must not take it again, as no
+  /// process waits for the verdict any more.
   std::set<std::string> released;
   uint64_t fingerprint = 0;
   bool completed = false;
@@ -60,7 +60,7 @@
   void Expire();
 
   std::map<std::string, Entry> entries_;
-  /// Claims in order of time; a key claimed again is there twice.
+  /// Claims by time, oldest first. A key that was claimed again appears twice.
   std::deque<std::pair<int64_t, std::string>> order_;
   int64_t newest_ms_ = 0;
 };
--- a/test/ledger/ledger_test.cc
+++ b/test/ledger/ledger_test.cc
@@ -1,4 +1,4 @@
-// The at-most-once ledger.
+// Tests of the at-most-once ledger.
 #include "ledger/ledger.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -26,10 +26,10 @@
 class LedgerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LedgerTest);
   CPPUNIT_TEST(OneOwnerAtATime);
-  CPPUNIT_TEST(CompletedKeyGivesItsOutcome);
-  CPPUNIT_TEST(LateClaimOfAReleasedOwnerTakesNothing);
-  CPPUNIT_TEST(KeyOfAnotherRequestIsRefused);
-  CPPUNIT_TEST(EntriesAreKeptForTheRetention);
+  CPPUNIT_TEST(CompletedKeyReturnsItsOutcome);
+  CPPUNIT_TEST(LateClaimByAReleasedOwnerIsRefused);
+  CPPUNIT_TEST(KeyReusedForAnotherRequestIsRefused);
+  CPPUNIT_TEST(EntriesAreKeptForTheRetentionPeriod);
   CPPUNIT_TEST(GrantsNeverOverlap);
   CPPUNIT_TEST_SUITE_END();
 
@@ -45,7 +45,7 @@
     CPPUNIT_ASSERT(Do(&ledger, LedgerOperation::kClaim, "b") == LedgerVerdict::kGranted);
   }
 
-  void CompletedKeyGivesItsOutcome() {
+  void CompletedKeyReturnsItsOutcome() {
     Ledger ledger;
     Do(&ledger, LedgerOperation::kClaim, "a");
     CPPUNIT_ASSERT(Do(&ledger, LedgerOperation::kComplete, "a") == LedgerVerdict::kRecorded);
@@ -55,7 +55,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("outcome"), again.outcome);
   }
 
-  void LateClaimOfAReleasedOwnerTakesNothing() {
+  void LateClaimByAReleasedOwnerIsRefused() {
     Ledger ledger;
     Do(&ledger, LedgerOperation::kClaim, "a");
     Do(&ledger, LedgerOperation::kRelease, "a");
@@ -63,14 +63,14 @@
     CPPUNIT_ASSERT(Do(&ledger, LedgerOperation::kClaim, "b") == LedgerVerdict::kGranted);
   }
 
-  void KeyOfAnotherRequestIsRefused() {
+  void KeyReusedForAnotherRequestIsRefused() {
     Ledger ledger;
     Do(&ledger, LedgerOperation::kClaim, "a", 1);
     CPPUNIT_ASSERT(Do(&ledger, LedgerOperation::kClaim, "b", 2) ==
                    LedgerVerdict::kFingerprintMismatch);
   }
 
-  void EntriesAreKeptForTheRetention() {
+  void EntriesAreKeptForTheRetentionPeriod() {
     Ledger ledger;
     Do(&ledger, LedgerOperation::kClaim, "a", 1, 0);
     Do(&ledger, LedgerOperation::kComplete, "a", 1, 10);
@@ -81,8 +81,8 @@
                    LedgerVerdict::kGranted);
   }
 
-  /// In any order of messages, copies included, nobody is granted a key that another still holds,
-  /// or that was completed; and a copy of the state decides the same.
+  /// In any order of messages, including duplicates, no attempt is granted a key that another one
+  /// still holds or that was completed. A copy of the state decides the same.
   void GrantsNeverOverlap() {
     const bool held = rc::check("grants never overlap", [](const std::vector<uint8_t>& steps) {
       Ledger ledger;
