--- a/src/config/config_state.cc
+++ b/src/config/config_state.cc
@@ -64,8 +64,9 @@
   const auto stopped =
       static_cast<size_t>(std::count_if(quarantine_.begin(), quarantine_.end(),
                                         [](const auto& item) { return item.second.stopped; }));
-  if (stopped >= kMostQuarantined && !IsQuarantined(change.request)) {
-    return Invalid("request", std::to_string(stopped) + " requests are stopped already");
+  if (stopped >= kMaxQuarantined && !IsQuarantined(change.request)) {
+    return Invalid("request",
+                   std::to_string(stopped) + " requests are stopped, which is the maximum");
   }
   return absl::OkStatus();
 }
@@ -154,7 +155,7 @@
                         [this](const ReportedLeaf& leaf) { return IsReportedBy(leaf); });
   }
   if (change.kind == ChangeKind::kRetireLeaf) {
-    return IsRetired(change.leaf, RetiringLife(change));
+    return IsRetired(change.leaf, RetiringIncarnation(change));
   }
   if (ConcernsZone(change.kind)) {
     const auto zone = zones_.find(change.zone);
@@ -184,10 +185,10 @@
          (retired != retired_.end() && born_ms < retired->second);
 }
 
-uint64_t ConfigState::RetiringLife(const Change& change) const {
+uint64_t ConfigState::RetiringIncarnation(const Change& change) const {
   const auto it = reported_.find(change.leaf);
-  const bool says = change.born_ms != 0 || it == reported_.end();
-  return says ? change.born_ms : it->second.born_ms;
+  const bool has_incarnation = change.born_ms != 0 || it == reported_.end();
+  return has_incarnation ? change.born_ms : it->second.born_ms;
 }
 
 void ConfigState::Report(const ReportedLeaf& leaf) {
@@ -201,13 +202,13 @@
   if (known != reported_.end() && known->second.born_ms <= born_ms) {
     reported_.erase(known);
   }
-  const auto [life, inserted] = retired_.try_emplace(leaf, born_ms);
-  life->second = std::max(life->second, born_ms);
+  const auto [it, inserted] = retired_.try_emplace(leaf, born_ms);
+  it->second = std::max(it->second, born_ms);
   if (!inserted) {
     return;
   }
   retired_order_.push_back(leaf);
-  if (retired_order_.size() > kKeptRetired) {
+  if (retired_order_.size() > kMaxRetiredLeafs) {
     retired_.erase(retired_order_.front());
     retired_order_.pop_front();
   }
@@ -217,7 +218,7 @@
   QuarantineRecord& record = quarantine_[request];
   record.stopped = true;
   ++record.times;
-  if (quarantine_.size() > kMostQuarantined) {
+  if (quarantine_.size() > kMaxQuarantined) {
     const auto on_parole = std::find_if(quarantine_.begin(), quarantine_.end(),
                                         [](const auto& item) { return !item.second.stopped; });
     if (on_parole != quarantine_.end()) {
@@ -257,7 +258,7 @@
     case ChangeKind::kPublishSnapshot: {
       Service& service = services_[change.service];
       service.snapshots.push_back(change.snapshot);
-      if (service.snapshots.size() > kKeptSnapshots) {
+      if (service.snapshots.size() > kRetainedSnapshots) {
         service.snapshots.erase(service.snapshots.begin());
       }
       ++service.revision;
@@ -277,7 +278,7 @@
       leaving_.erase(change.leaf);
       break;
     case ChangeKind::kRetireLeaf:
-      Retire(change.leaf, RetiringLife(change));
+      Retire(change.leaf, RetiringIncarnation(change));
       break;
     case ChangeKind::kPutDocument:
       document_ = change.document;
@@ -345,12 +346,12 @@
     json.at("version").get_to(state.version_);
     json.at("services").get_to(state.services_);
     json.at("leaving").get_to(state.leaving_);
-    // Absent in what was written before leafs reported by themselves.
+    // Absent in states written before leafs reported by heartbeats.
     state.retired_order_ = json.value("retired", std::deque<std::string>());
     for (const std::string& leaf : state.retired_order_) {
       state.retired_.emplace(leaf, 0);
     }
-    // Absent in what was written before leafs said when they were born.
+    // Absent in states written before leafs reported their start time.
     for (const auto& [leaf, born_ms] :
          json.value("retired_lives", std::map<std::string, uint64_t>())) {
       state.retired_[leaf] = born_ms;
@@ -358,16 +359,16 @@
     state.document_.version = json.value("document_version", uint64_t{0});
     state.document_.text = json.value("document", "");
     state.reported_ = json.value("reported", std::map<std::string, ReportedLeaf>());
-    // Absent in what was written before zones could be evacuated.
+    // Absent in states written before zones could be evacuated.
     state.zones_ = json.value("zones", std::map<std::string, ZoneState>());
-    // Absent as long as no list of tenants was put.
+    // Absent until a list of tenants is set.
     state.tenants_.revision = json.value("tenants_revision", uint64_t{0});
     if (state.tenants_.revision > 0) {
       if (absl::Status status = ReadTenants(json, &state.tenants_.tenants); !status.ok()) {
         return status;
       }
     }
-    // Absent in what was written before requests could be stopped.
+    // Absent in states written before requests could be stopped.
     const auto quarantine = json.value("quarantine", std::map<std::string, QuarantineRecord>());
     for (const auto& [text, record] : quarantine) {
       if (const auto request = RequestIdentityFrom(text)) {
--- a/src/config/config_state.h
+++ b/src/config/config_state.h
@@ -13,13 +13,14 @@
 
 namespace pumicedyke::config {
 
-/// How many published snapshots of a service stay usable for running and continued requests.
-constexpr size_t kKeptSnapshots = 3;
-/// How many retired leafs are remembered. One that is forgotten has long ended.
-constexpr size_t kKeptRetired = 4096;
-/// Requests that are stopped or on parole. One on parole is forgotten for another one; no more can
-/// be stopped at a time.
-constexpr size_t kMostQuarantined = 1024;
+/// Number of published snapshots of a service that stay usable for running and continued requests.
+constexpr size_t kRetainedSnapshots = 3;
+/// Number of retired leafs that are recorded. The process of a leaf that is dropped from the record
+/// has long ended.
+constexpr size_t kMaxRetiredLeafs = 4096;
+/// Limit on requests in quarantine: stopped or conditionally released. A new request replaces a
+/// conditionally released one; if all are stopped, no further request can be stopped.
+constexpr size_t kMaxQuarantined = 1024;
 
 class ConfigState {
  public:
@@ -28,47 +29,48 @@
   const Service* FindService(const std::string& name) const;
   bool IsLeaving(const std::string& leaf) const { return leaving_.contains(leaf); }
   const std::set<std::string>& leaving() const { return leaving_; }
-  /// Leafs that said for good that they leave, with the last life that did; the newest kKeptRetired
-  /// of them.
+  /// Leafs that retired, with their last incarnation that did. Holds the newest kMaxRetiredLeafs
+  /// leafs.
   const std::map<std::string, uint64_t>& retired() const { return retired_; }
-  /// Whether this life of the leaf has said so, or a later one.
+  /// Whether this incarnation of the leaf or a later one has retired.
   bool IsRetired(const std::string& leaf, uint64_t born_ms) const {
     const auto it = retired_.find(leaf);
     return it != retired_.end() && born_ms <= it->second;
   }
-  /// Whether a later life of the leaf is committed, or has retired.
+  /// Whether a later incarnation of the leaf is committed or has retired.
   bool IsFormerLife(const std::string& leaf, uint64_t born_ms) const;
   const RouteDocument& document() const { return document_; }
-  /// Leafs that report by heartbeats and have neither retired nor fallen silent, by id.
+  /// Leafs that report by heartbeats and have neither retired nor timed out, by id.
   const std::map<std::string, ReportedLeaf>& reported() const { return reported_; }
 
-  /// Zones that operators evacuated at least once, by name.
+  /// Zones that were evacuated at least once, by name.
   const std::map<std::string, ZoneState>& zones() const { return zones_; }
-  /// Zones whose leafs nothing may be sent to.
+  /// Zones whose leafs must not be sent any request.
   std::set<std::string> EvacuatedZones() const;
-  /// Requests that are stopped, and those on parole, by identity.
+  /// Requests that are stopped or conditionally released, by identity.
   const std::map<RequestIdentity, QuarantineRecord>& quarantine() const { return quarantine_; }
-  /// Whether the request is to be sent to no leaf.
+  /// Whether the request must not be sent to any leaf.
   bool IsQuarantined(const RequestIdentity& request) const {
     const auto it = quarantine_.find(request);
     return it != quarantine_.end() && it->second.stopped;
   }
-  /// Requests that are to be sent to no leaf.
+  /// Requests that must not be sent to any leaf.
   std::set<RequestIdentity> StoppedRequests() const;
-  /// Who may ask nodes.
+  /// Tenants that may send requests to nodes.
   const TenantList& tenants() const { return tenants_; }
-  /// Revision of what the change is about, a service or a zone; zero: it has none yet.
+  /// Returns the revision of the object of the change: a service, a zone or the list of tenants.
+  /// Zero: the object does not exist yet.
   uint64_t RevisionOf(const Change& change) const;
 
-  /// Whether `change` may be applied now, except for its expected revision.
+  /// Checks whether `change` may be applied now, except for its expected revision.
   /// @return kInvalidConfig or kUnknownObject naming the field.
   absl::Status Validate(const Change& change) const;
 
-  /// Whether applying `change` would leave everything as it is (an older document, a leaf that is
-  /// retired already, leafs that are known).
+  /// Whether applying `change` would have no effect, for instance an older document, a leaf that
+  /// has already retired, or leafs that are already known.
   bool IsSettled(const Change& change) const;
 
-  /// Applies a valid change and counts the version up.
+  /// Applies a valid change and increments the version.
   void Apply(const Change& change);
 
   std::string Serialize() const;
@@ -76,14 +78,14 @@
 
  private:
   bool HasLeaf(const std::string& id) const;
-  /// The life of a leaf that a kRetireLeaf is about.
-  uint64_t RetiringLife(const Change& change) const;
+  /// Returns the start time of the incarnation that a kRetireLeaf change retires.
+  uint64_t RetiringIncarnation(const Change& change) const;
   void Retire(const std::string& leaf, uint64_t born_ms);
   void Report(const ReportedLeaf& leaf);
   void Quarantine(const RequestIdentity& request);
   void Release(const RequestIdentity& request, bool on_parole);
-  /// Whether the committed word on this life of a leaf is by its reporter, who alone may take it
-  /// back.
+  /// Whether this incarnation of the leaf is committed with the same reporter. Only that reporter
+  /// may remove it.
   bool IsReportedBy(const ReportedLeaf& leaf) const;
   absl::Status ValidateService(const Change& change) const;
   absl::Status ValidateSnapshot(const Change& change) const;
@@ -93,7 +95,7 @@
   std::map<std::string, Service> services_;
   std::set<std::string> leaving_;
   std::map<std::string, uint64_t> retired_;
-  /// The same, oldest first.
+  /// Ids of the retired leafs, oldest first.
   std::deque<std::string> retired_order_;
   RouteDocument document_;
   TenantList tenants_;
--- a/src/config/model.cc
+++ b/src/config/model.cc
@@ -283,7 +283,7 @@
   json.at("zone").get_to(leaf.zone);
   json.at("slots").get_to(leaf.slots);
   json.at("reporter").get_to(leaf.reporter);
-  // Absent where leafs do not say it, and in what was written before they did.
+  // Absent for leafs that do not report it, and in states written before leafs could.
   leaf.born_ms = json.value("born", uint64_t{0});
 }
 
--- a/src/config/model.h
+++ b/src/config/model.h
@@ -1,4 +1,4 @@
-// The configuration that operators write and every node follows.
+// The configuration that operators submit and every node applies.
 #pragma once
 
 #include <map>
@@ -14,13 +14,13 @@
 
 namespace pumicedyke::config {
 
-/// A back end process that serves replicas of shards.
+/// A back-end process that serves replicas of shards.
 struct Leaf {
   std::string id;
   /// IP number and port, for instance 127.0.0.1:8080.
   std::string address;
   std::string zone;
-  /// Requests it runs at once.
+  /// Number of requests that the leaf runs concurrently.
   uint32_t slots = 1;
 };
 
@@ -38,12 +38,12 @@
 
 struct Service {
   std::string name;
-  /// Counts the changes of this service; operators submit against it.
+  /// Counts the changes of this service. Changes may state the revision that they are based on.
   uint64_t revision = 0;
   std::map<std::string, Leaf> leafs;
-  /// Oldest first; the last one is pinned by new requests.
+  /// Oldest first. New requests pin the last one.
   std::vector<PublishedSnapshot> snapshots;
-  /// Source of the policy program; empty means the built-in default.
+  /// Source of the policy program. Empty: the built-in default.
   std::string policy;
   /// Version of the configuration that set the policy.
   ConfigVersion policy_version;
@@ -51,8 +51,9 @@
   const PublishedSnapshot* FindSnapshot(SnapshotId id) const;
 };
 
-/// A leaf that reports by heartbeats, as committed: whoever starts learns of it without waiting for
-/// its next heartbeat. Whether it still lives is soft state (registry/).
+/// A leaf that reports by heartbeats, as committed to the control log. A process that starts learns
+/// of the leaf from the log, without waiting for the next heartbeat. Whether the leaf is still
+/// alive is soft state (registry/).
 struct ReportedLeaf {
   std::string id;
   std::string service;
@@ -60,42 +61,42 @@
   std::string address;
   std::string zone;
   uint32_t slots = 1;
-  /// The control machine that it reports to, and the only one that may say it is gone.
+  /// The control machine that the leaf reports to, the only one that may remove it.
   MemberId reporter = 0;
-  /// When this life of the leaf began, by its own clock; zero: it did not say.
+  /// Start time of this incarnation of the leaf, by its own clock. Zero: not reported.
   uint64_t born_ms = 0;
   bool operator==(const ReportedLeaf&) const = default;
 };
 
-/// What operators ordered for the leafs of a zone.
+/// What operators have set for the leafs of a zone.
 struct ZoneState {
-  /// Nothing may be sent to them.
+  /// No request may be sent to the zone's leafs.
   bool evacuated = false;
   /// Counts the changes of this state.
   uint64_t revision = 0;
 };
 
-/// A request that ended the leafs that ran it, and what the fleet does about it.
+/// State of a fatal request, one that crashes the leafs that run it.
 struct QuarantineRecord {
-  /// It is sent to no leaf. Otherwise it is on parole: one more leaf that it ends is enough to stop
-  /// it again.
+  /// True: the request is not sent to any leaf. False: it is conditionally released, and one more
+  /// leaf that it crashes stops it again.
   bool stopped = true;
-  /// How often it was stopped.
+  /// How often the request was stopped.
   uint32_t times = 0;
 };
 
-/// Who may ask nodes. Routes say it for gateways in their document.
+/// Tenants that may send requests to nodes. For gateways, the document of routes lists them.
 struct TenantList {
   /// Counts the changes of this list.
   uint64_t revision = 0;
-  /// Unset: nobody needs a key.
+  /// Unset: callers need no key.
   std::optional<std::vector<tenants::Tenant>> tenants;
 };
 
-/// Routes as operators put them, whole: kept byte for byte. What the bytes mean is for the
-/// routing::DocumentReader of the process that uses them.
+/// A document of routes as operators submitted it, stored byte for byte. The process that uses it
+/// parses it with its routing::DocumentReader.
 struct RouteDocument {
-  /// Zero: there is none yet.
+  /// Zero: no document yet.
   uint64_t version = 0;
   std::string text;
 };
@@ -107,36 +108,34 @@
   kPutPolicy,
   kMarkLeaving,
   kClearLeaving,
-  /// A leaf that reports by heartbeats is leaving for good. Its id may come back only as a later
-  /// life.
+  /// A leaf that reports by heartbeats retires. Only a later incarnation may use its id again.
   kRetireLeaf,
-  /// A whole numbered document of routes; the highest number wins.
+  /// Replaces the document of routes, if its version is higher than the current one.
   kPutDocument,
-  /// Leafs that were heard of for the first time, or at another control machine.
+  /// Adds leafs that are new or that now report to another control machine.
   kReportLeafs,
-  /// Leafs that fell silent at the control machine they report to.
+  /// Removes leafs whose heartbeats to their reporter have timed out.
   kForgetLeafs,
-  /// Nothing is sent to a zone's leafs any more, until the zone is restored.
+  /// Stops sending requests to a zone's leafs until the zone is restored.
   kEvacuateZone,
   kRestoreZone,
-  /// A request, by its identity, is sent to no leaf any more, until it is released.
+  /// Stops sending a request, given by its identity, to any leaf until it is released.
   kQuarantineRequest,
   kReleaseRequest,
-  /// The whole list of tenants, or that nobody needs a key.
+  /// Replaces the whole list of tenants, or removes it, so that callers need no key.
   kPutTenants,
 };
 
 bool ConcernsZone(ChangeKind kind);
-/// Whether a change may be applied twice without harm, so that it needs no submission id.
+/// Whether applying a change of this kind twice is harmless, so that it needs no submission id.
 bool IsIdempotent(ChangeKind kind);
 
 /// One change as an operator submits it.
 struct Change {
   ChangeKind kind = ChangeKind::kPutService;
-  /// A resend under the same id gets the first submission's result.
+  /// A resend with the same id gets the result of the first submission.
   std::string submission_id;
-  /// The revision of the service, or of the zone's state, that the change is based on; none means
-  /// "whatever it is".
+  /// The revision of the service or the zone's state that the change is based on. Unset: any.
   std::optional<uint64_t> expected_revision;
   std::string service;
   std::vector<Leaf> leafs;
@@ -144,27 +143,28 @@
   std::string policy;
   /// The leaf of kMarkLeaving, kClearLeaving and kRetireLeaf.
   std::string leaf;
-  /// kRetireLeaf: the last life that leaves, see ReportedLeaf::born_ms; zero: the one that is
-  /// known.
+  /// kRetireLeaf: the last incarnation that retires, see ReportedLeaf::born_ms. Zero: the committed
+  /// one.
   uint64_t born_ms = 0;
   RouteDocument document;
   /// The zone of kEvacuateZone and kRestoreZone.
   std::string zone;
   /// The request of kQuarantineRequest and kReleaseRequest.
   RequestIdentity request;
-  /// kReleaseRequest: it is remembered that it was stopped before.
+  /// kReleaseRequest: releases the request conditionally, and keeps the record that it was stopped.
   bool on_parole = false;
-  /// The leafs of kReportLeafs and kForgetLeafs; of the latter only id, life and reporter count.
+  /// The leafs of kReportLeafs and kForgetLeafs. kForgetLeafs uses only id, start time and
+  /// reporter.
   std::vector<ReportedLeaf> reported;
-  /// The tenants of kPutTenants; unset: nobody needs a key.
+  /// The tenants of kPutTenants. Unset: callers need no key.
   std::optional<std::vector<tenants::Tenant>> tenants;
 };
 
-/// What became of a submission.
+/// Result of a submission.
 struct ChangeResult {
   int code = 0;
   std::string message;
-  /// Configuration version that the change made, or the current one if it was refused.
+  /// Configuration version after the change, or the current one if the change was refused.
   uint64_t version = 0;
   /// The service's or the zone's revision after the change, or the current one if it was refused.
   uint64_t revision = 0;
@@ -183,7 +183,7 @@
                                    policy_version)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(ChangeResult, code, message, version, revision)
 
-/// Reads a change that came from outside, field by field.
+/// Parses and checks a change submitted from outside.
 /// @return kInvalidConfig naming the first field that is wrong.
 absl::StatusOr<Change> ParseChange(const Json& json);
 
--- a/src/config/tenant_list.cc
+++ b/src/config/tenant_list.cc
@@ -11,7 +11,8 @@
 namespace pumicedyke::config {
 namespace {
 
-/// What a tenant of this list may say. Limits hold over all gateways, which nodes don't share.
+/// Fields of a tenant in this list. Limits are not among them: they hold over all gateways, and
+/// nodes do not take part in that.
 constexpr const char* kFields[] = {"name", "keys", "priority"};
 
 absl::Status Invalid(const std::string& place, const std::string& field, const std::string& why) {
@@ -24,7 +25,7 @@
   }
   for (const Json& key : json["keys"]) {
     if (!key.is_string()) {
-      return Invalid(place, "keys", "must hold texts");
+      return Invalid(place, "keys", "must contain only strings");
     }
     tenant->api_keys.push_back(key.get<std::string>());
   }
@@ -47,13 +48,13 @@
 absl::Status ReadTenant(const Json& json, size_t index, tenants::Tenant* tenant) {
   const std::string number = "tenant " + std::to_string(index) + " of the list";
   if (!json.is_object() || !json.contains("name") || !json["name"].is_string()) {
-    return Invalid(number, "name", "must be a text");
+    return Invalid(number, "name", "must be a string");
   }
   tenant->name = json["name"].get<std::string>();
   const std::string place = "tenant '" + tenant->name + "'";
   for (const auto& [field, value] : json.items()) {
     if (std::find(std::begin(kFields), std::end(kFields), field) == std::end(kFields)) {
-      return Invalid(place, field, "is not known here");
+      return Invalid(place, field, "is not a field of a tenant");
     }
   }
   if (absl::Status status = ReadKeys(json, place, tenant); !status.ok()) {
--- a/test/config/committed_incarnations_test.cc
+++ b/test/config/committed_incarnations_test.cc
@@ -1,4 +1,4 @@
-// Lives of a leaf as the replicated state tells them apart.
+// Tests how the replicated state tells incarnations of a leaf apart.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "common/json.h"
@@ -29,24 +29,24 @@
   return change;
 }
 
-/// As it comes from the log.
+/// Applies a change after a round trip through its JSON text, as when it is read from the log.
 void Apply(ConfigState* state, const Change& change) {
   state->Apply(*ParseChange(Json::parse(Json(change).dump())));
 }
 
 }  // namespace
 
-class CommittedLivesTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(CommittedLivesTest);
+class CommittedIncarnationsTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(CommittedIncarnationsTest);
   CPPUNIT_TEST(RetiredLifeDoesNotBindTheNext);
-  CPPUNIT_TEST(LateRetirementOfAFormerLifeTakesNothing);
-  CPPUNIT_TEST(RetirementThatNamesNoLifeIsOfTheCommittedOne);
-  CPPUNIT_TEST(FormerLifeIsNotCommittedAgain);
-  CPPUNIT_TEST(ForgettingAFormerLifeLeavesTheNext);
-  CPPUNIT_TEST(LeafsThatNeverSayAreAsEver);
-  CPPUNIT_TEST(LivesSurviveTheirText);
-  CPPUNIT_TEST(OlderTextHasNoLives);
-  CPPUNIT_TEST(CommitterCommitsTheNewLife);
+  CPPUNIT_TEST(LateRetirementOfAPreviousIncarnationHasNoEffect);
+  CPPUNIT_TEST(RetirementWithoutIncarnationRetiresTheCommittedOne);
+  CPPUNIT_TEST(PreviousIncarnationIsNotCommittedAgain);
+  CPPUNIT_TEST(ForgettingAPreviousIncarnationKeepsTheNext);
+  CPPUNIT_TEST(LeafsWithoutStartTimeStayRetired);
+  CPPUNIT_TEST(IncarnationsSurviveSerialization);
+  CPPUNIT_TEST(OlderStatesHaveNoIncarnations);
+  CPPUNIT_TEST(CommitterCommitsTheNewIncarnation);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -63,7 +63,7 @@
     CPPUNIT_ASSERT_EQUAL(uint64_t{2000}, state.reported().at("a").born_ms);
   }
 
-  void LateRetirementOfAFormerLifeTakesNothing() {
+  void LateRetirementOfAPreviousIncarnationHasNoEffect() {
     ConfigState state;
     Apply(&state, Reported(ChangeKind::kReportLeafs, LeafOf(2000)));
     Apply(&state, Retired(1000));
@@ -71,7 +71,7 @@
     CPPUNIT_ASSERT(!state.IsRetired("a", 2000));
   }
 
-  void RetirementThatNamesNoLifeIsOfTheCommittedOne() {
+  void RetirementWithoutIncarnationRetiresTheCommittedOne() {
     ConfigState state;
     Apply(&state, Reported(ChangeKind::kReportLeafs, LeafOf(2000)));
     Apply(&state, Retired(0));
@@ -80,7 +80,7 @@
     CPPUNIT_ASSERT(!state.IsRetired("a", 3000));
   }
 
-  void FormerLifeIsNotCommittedAgain() {
+  void PreviousIncarnationIsNotCommittedAgain() {
     ConfigState state;
     Apply(&state, Reported(ChangeKind::kReportLeafs, LeafOf(2000)));
     const Change old = Reported(ChangeKind::kReportLeafs, LeafOf(1000, kReporter + 1));
@@ -91,8 +91,9 @@
     CPPUNIT_ASSERT(!state.IsFormerLife("a", 2000));
   }
 
-  /// The same machine proposed both, and the first was passed on twice.
-  void ForgettingAFormerLifeLeavesTheNext() {
+  /// The same control machine proposed to forget both incarnations, and the first proposal was
+  /// forwarded twice.
+  void ForgettingAPreviousIncarnationKeepsTheNext() {
     ConfigState state;
     Apply(&state, Reported(ChangeKind::kReportLeafs, LeafOf(2000)));
     const Change forget = Reported(ChangeKind::kForgetLeafs, LeafOf(1000));
@@ -103,7 +104,7 @@
     CPPUNIT_ASSERT(state.reported().empty());
   }
 
-  void LeafsThatNeverSayAreAsEver() {
+  void LeafsWithoutStartTimeStayRetired() {
     ConfigState state;
     Apply(&state, Reported(ChangeKind::kReportLeafs, LeafOf(0)));
     Apply(&state, Retired(0));
@@ -115,7 +116,7 @@
     CPPUNIT_ASSERT(!Json(Retired(0)).contains("born"));
   }
 
-  void LivesSurviveTheirText() {
+  void IncarnationsSurviveSerialization() {
     ConfigState state;
     Apply(&state, Retired(1000));
     Apply(&state, Reported(ChangeKind::kReportLeafs, LeafOf(2000)));
@@ -126,7 +127,7 @@
     CPPUNIT_ASSERT_EQUAL(state.Serialize(), read->Serialize());
   }
 
-  void OlderTextHasNoLives() {
+  void OlderStatesHaveNoIncarnations() {
     ConfigState state;
     Apply(&state, Reported(ChangeKind::kReportLeafs, LeafOf(0)));
     Change other = Retired(0);
@@ -140,7 +141,7 @@
     CPPUNIT_ASSERT(read->IsRetired("b", 0));
   }
 
-  void CommitterCommitsTheNewLife() {
+  void CommitterCommitsTheNewIncarnation() {
     constexpr Timestamp kStart{Seconds(100)};
     ConfigState state;
     Apply(&state, Retired(1000));
@@ -154,6 +155,6 @@
     CPPUNIT_ASSERT_EQUAL(uint64_t{2000}, change->reported.front().born_ms);
   }
 };
-CPPUNIT_TEST_SUITE_REGISTRATION(CommittedLivesTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(CommittedIncarnationsTest);
 
 }  // namespace pumicedyke::config
--- a/test/config/quarantine_test.cc
+++ b/test/config/quarantine_test.cc
@@ -1,4 +1,4 @@
-// Stopping and releasing requests, as part of the configuration.
+// Tests of stopping and releasing requests as part of the configuration.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "common/result_code.h"
@@ -9,7 +9,8 @@
 
 const RequestIdentity kRequest = IdentityOf({"request"});
 
-Change Order(ChangeKind kind, const RequestIdentity& request = kRequest, bool on_parole = false) {
+Change RequestChange(ChangeKind kind, const RequestIdentity& request = kRequest,
+                     bool on_parole = false) {
   Change change;
   change.kind = kind;
   change.request = request;
@@ -22,35 +23,35 @@
 class QuarantineTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(QuarantineTest);
   CPPUNIT_TEST(StoppedReleasedAndStoppedAgain);
-  CPPUNIT_TEST(StateSurvivesAndOlderStatesAreRead);
+  CPPUNIT_TEST(StateSurvivesSerializationAndOlderStatesAreRead);
   CPPUNIT_TEST(ChangesReadBack);
   CPPUNIT_TEST(BadFieldsAreNamed);
-  CPPUNIT_TEST(NoMoreThanALimitIsStopped);
+  CPPUNIT_TEST(NumberOfStoppedRequestsIsLimited);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void StoppedReleasedAndStoppedAgain() {
     ConfigState state;
-    CPPUNIT_ASSERT(!state.IsSettled(Order(ChangeKind::kQuarantineRequest)));
-    state.Apply(Order(ChangeKind::kQuarantineRequest));
+    CPPUNIT_ASSERT(!state.IsSettled(RequestChange(ChangeKind::kQuarantineRequest)));
+    state.Apply(RequestChange(ChangeKind::kQuarantineRequest));
     CPPUNIT_ASSERT(state.IsQuarantined(kRequest));
     CPPUNIT_ASSERT(!state.IsQuarantined(IdentityOf({"another"})));
-    CPPUNIT_ASSERT(state.IsSettled(Order(ChangeKind::kQuarantineRequest)));
-    state.Apply(Order(ChangeKind::kReleaseRequest, kRequest, /*on_parole=*/true));
+    CPPUNIT_ASSERT(state.IsSettled(RequestChange(ChangeKind::kQuarantineRequest)));
+    state.Apply(RequestChange(ChangeKind::kReleaseRequest, kRequest, /*on_parole=*/true));
     CPPUNIT_ASSERT(!state.IsQuarantined(kRequest));
-    CPPUNIT_ASSERT(state.IsSettled(Order(ChangeKind::kReleaseRequest, kRequest, true)));
-    CPPUNIT_ASSERT(!state.IsSettled(Order(ChangeKind::kReleaseRequest)));
-    state.Apply(Order(ChangeKind::kQuarantineRequest));
+    CPPUNIT_ASSERT(state.IsSettled(RequestChange(ChangeKind::kReleaseRequest, kRequest, true)));
+    CPPUNIT_ASSERT(!state.IsSettled(RequestChange(ChangeKind::kReleaseRequest)));
+    state.Apply(RequestChange(ChangeKind::kQuarantineRequest));
     CPPUNIT_ASSERT_EQUAL(2U, state.quarantine().at(kRequest).times);
-    state.Apply(Order(ChangeKind::kReleaseRequest));
+    state.Apply(RequestChange(ChangeKind::kReleaseRequest));
     CPPUNIT_ASSERT(state.quarantine().empty());
   }
 
-  void StateSurvivesAndOlderStatesAreRead() {
+  void StateSurvivesSerializationAndOlderStatesAreRead() {
     ConfigState state;
-    state.Apply(Order(ChangeKind::kQuarantineRequest));
-    state.Apply(Order(ChangeKind::kQuarantineRequest, IdentityOf({"another"})));
-    state.Apply(Order(ChangeKind::kReleaseRequest, IdentityOf({"another"}), true));
+    state.Apply(RequestChange(ChangeKind::kQuarantineRequest));
+    state.Apply(RequestChange(ChangeKind::kQuarantineRequest, IdentityOf({"another"})));
+    state.Apply(RequestChange(ChangeKind::kReleaseRequest, IdentityOf({"another"}), true));
     const auto back = ConfigState::Deserialize(state.Serialize());
     CPPUNIT_ASSERT(back.ok());
     CPPUNIT_ASSERT(back->IsQuarantined(kRequest));
@@ -61,8 +62,8 @@
   }
 
   void ChangesReadBack() {
-    for (const Change& change : {Order(ChangeKind::kQuarantineRequest),
-                                 Order(ChangeKind::kReleaseRequest, kRequest, true)}) {
+    for (const Change& change : {RequestChange(ChangeKind::kQuarantineRequest),
+                                 RequestChange(ChangeKind::kReleaseRequest, kRequest, true)}) {
       const auto back = ParseChange(Json(change));
       CPPUNIT_ASSERT(back.ok());
       CPPUNIT_ASSERT(back->kind == change.kind && back->request == kRequest);
@@ -84,19 +85,19 @@
                        .find("'on_parole'") != std::string::npos);
   }
 
-  /// Who is on parole makes room; who is stopped does not.
-  void NoMoreThanALimitIsStopped() {
+  /// A conditionally released request is replaced by a new one; a stopped request is not.
+  void NumberOfStoppedRequestsIsLimited() {
     ConfigState state;
     const auto nth = [](size_t i) { return IdentityOf({std::to_string(i)}); };
-    for (size_t i = 0; i < kMostQuarantined; ++i) {
-      state.Apply(Order(ChangeKind::kQuarantineRequest, nth(i)));
+    for (size_t i = 0; i < kMaxQuarantined; ++i) {
+      state.Apply(RequestChange(ChangeKind::kQuarantineRequest, nth(i)));
     }
-    const Change more = Order(ChangeKind::kQuarantineRequest);
+    const Change more = RequestChange(ChangeKind::kQuarantineRequest);
     CPPUNIT_ASSERT(CodeOf(state.Validate(more)) == ResultCode::kInvalidConfig);
-    state.Apply(Order(ChangeKind::kReleaseRequest, nth(7), true));
+    state.Apply(RequestChange(ChangeKind::kReleaseRequest, nth(7), true));
     CPPUNIT_ASSERT(state.Validate(more).ok());
     state.Apply(more);
-    CPPUNIT_ASSERT_EQUAL(kMostQuarantined, state.quarantine().size());
+    CPPUNIT_ASSERT_EQUAL(kMaxQuarantined, state.quarantine().size());
     CPPUNIT_ASSERT(state.IsQuarantined(kRequest));
     CPPUNIT_ASSERT(!state.quarantine().contains(nth(7)));
   }
