--- a/src/wire/arena.h
+++ b/src/wire/arena.h
@@ -1,5 +1,5 @@
-// What the codecs of wire messages share: owned memory behind outgoing nanopb structures, and
-// readers of what incoming ones point to.
+// Shared by the codecs of wire messages: memory owned for outgoing nanopb structures, and readers
+// of the pointer fields of incoming ones.
 #pragma once
 
 #include <pb.h>
@@ -13,10 +13,10 @@
 
 namespace pumicedyke::wire {
 
-// nanopb counts the bytes of one field in 16 bits; longer values travel in several pieces.
+// nanopb counts the bytes of one field in 16 bits, so longer values are sent in several pieces.
 constexpr size_t kPieceBytes = 60000;
 
-/// Owns what the pointers of an outgoing nanopb structure refer to.
+/// Owns the memory that the pointers of an outgoing nanopb structure refer to.
 class Arena {
  public:
   char* String(const std::string& text) { return const_cast<char*>(text.c_str()); }
--- a/src/wire/codec.cc
+++ b/src/wire/codec.cc
@@ -13,7 +13,7 @@
 namespace pumicedyke::wire {
 namespace {
 
-// Those of gateways' messages, beside the ones below.
+// Overloads for the messages of gateways, in addition to those below.
 using wire::Fill;
 using wire::Read;
 
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -12,9 +12,9 @@
 std::string Encode(const Envelope& envelope);
 std::string Encode(const StorageRecord& record);
 
-/// @return the message, or kMalformedRequest when the bytes are not one.
+/// @return the message, or kMalformedRequest if the bytes are not a valid message.
 absl::StatusOr<Envelope> DecodeEnvelope(std::string_view bytes);
-/// @return the record, or kCorruptState when the bytes are not one.
+/// @return the record, or kCorruptState if the bytes are not a valid record.
 absl::StatusOr<StorageRecord> DecodeRecord(std::string_view bytes);
 
 }  // namespace pumicedyke::wire
--- a/src/wire/codec_gateways.h
+++ b/src/wire/codec_gateways.h
@@ -1,5 +1,5 @@
-// The part of the codec that is about messages of gateways: presence, leafs, shared gathers, lost
-// runs, limits of tenants. For codec.cc alone.
+// The part of the codec for messages of gateways: presence, leafs, partial queries, lost runs and
+// tenant limits. For use by codec.cc only.
 #pragma once
 
 #include "generated/internal.pb.h"
@@ -8,7 +8,7 @@
 
 namespace pumicedyke::wire {
 
-/// Fills an envelope. @pre the message and the arena outlive it.
+/// Fills an envelope. @pre the message and the arena outlive the envelope.
 void Fill(const GatewayPresence& presence, Arena* arena, pumicedyke_wire_Envelope* envelope);
 void Fill(const LeafFeed& feed, Arena* arena, pumicedyke_wire_Envelope* envelope);
 void Fill(const GatewayFeed& feed, Arena* arena, pumicedyke_wire_Envelope* envelope);
@@ -22,7 +22,7 @@
 void Fill(const LimitAsk& ask, Arena* arena, pumicedyke_wire_Envelope* envelope);
 void Fill(const LimitGrant& grant, Arena* arena, pumicedyke_wire_Envelope* envelope);
 
-/// Reads a message out of a decoded envelope.
+/// Reads a message from a decoded envelope.
 GatewayPresence Read(const pumicedyke_wire_GatewayPresence& in);
 LeafFeed Read(const pumicedyke_wire_LeafFeed& in);
 GatewayFeed Read(const pumicedyke_wire_GatewayFeed& in);
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -1,4 +1,4 @@
-// Typed messages between the system's own processes, and the records of the data folder.
+// Typed messages between the system's processes, and the records of the data folder.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,7 @@
   bool operator==(const LogEntry&) const = default;
 };
 
-/// One replica of the control log. Non-voters receive the log and count in no quorum.
+/// One replica of the control log. Non-voters receive the log but do not count towards a quorum.
 struct Member {
   MemberId id = 0;
   std::string machine;
@@ -61,14 +61,15 @@
   uint64_t commit = 0;
   std::vector<LogEntry> entries;
   bool reject = false;
-  /// Echoed by the reply: the send time of an append in the sender's clock, or a read's ticket.
+  /// Echoed by the reply: the send time of an append by the sender's clock, or the ticket of a
+  /// read.
   uint64_t context = 0;
   SnapshotData snapshot;
-  /// Reply to an append: a mark of the member's clock. Append or snapshot: the newest mark that the
-  /// leader has from its receiver, zero if there is none or the leader has no proof.
+  /// Reply to an append: a stamp of the member's clock. Append or snapshot: the newest stamp that
+  /// the leader has from the receiver; zero if there is none or the leader has no proof.
   uint64_t stamp = 0;
-  /// With a leader's `stamp`: how long before that mark came in a majority was last known to follow
-  /// the leader, at most zero.
+  /// With a leader's `stamp`: how long before the arrival of that stamp a majority was last known
+  /// to follow the leader. Not negative.
   Duration proof_lag{};
 };
 
@@ -76,9 +77,9 @@
   std::string node;
   uint64_t incarnation = 0;
   uint64_t version = 0;
-  /// Set until the node has learned a first configuration: the receiver must then ask a quorum.
+  /// Set until the node has received its first configuration. The receiver must then ask a quorum.
   bool starting = false;
-  /// The node's own clock in microseconds; the feed that answers this greeting echoes it.
+  /// The node's own clock in microseconds, echoed by the feed that answers this hello.
   uint64_t sent = 0;
 };
 
@@ -94,10 +95,10 @@
   /// Packed (wire/packing.h).
   std::string state;
   std::vector<ConfigChange> changes;
-  /// `sent` of the greeting this answers; 0 if it answers none.
+  /// `sent` of the hello that this feed answers; 0 if it answers none.
   uint64_t echo = 0;
-  /// How long before this was written the sender was last proved, by word of a quorum, to miss no
-  /// acknowledged change. Counts against the freshness that `echo` proves.
+  /// How long before writing this feed the sender was last proved by a quorum to have every
+  /// acknowledged change. Reduces the freshness that `echo` proves.
   Duration proof_age{};
 };
 
@@ -106,9 +107,9 @@
 struct LedgerRequest {
   LedgerOperation operation = LedgerOperation::kClaim;
   std::string key;
-  /// The attempt that asks: node, incarnation and number; unique for ever.
+  /// The attempt that sends the request: node, incarnation and number. Never used again.
   std::string owner;
-  /// Hash of what the key stands for, so that a key used for two requests is noticed.
+  /// Hash of the request that the key stands for, to detect a key that is used for two requests.
   uint64_t fingerprint = 0;
   std::string outcome;
   uint64_t request = 0;
@@ -132,17 +133,17 @@
   MemberId member = 0;
   std::string machine;
   std::string address;
-  /// Passed on to the leader by a machine that does not lead; goes no further.
+  /// Forwarded to the leader by a follower; not forwarded again.
   bool relayed = false;
 };
 
-/// The leader tells a newcomer, which knows no members yet, where it is reached.
+/// Reports the leader's address to a joining machine, which does not know any members yet.
 struct JoinReply {
   MemberId leader = 0;
   std::string address;
 };
 
-/// A command that a follower passes to the leader.
+/// A command that a follower forwards to the leader.
 struct Forwarded {
   MemberId origin = 0;
   uint64_t ticket = 0;
@@ -154,7 +155,7 @@
   std::string result;
 };
 
-/// A leaf as one control machine knows it from the leaf's heartbeats.
+/// A leaf as one control machine knows it from its heartbeats.
 struct LeafRecord {
   std::string leaf;
   std::string service;
@@ -163,85 +164,87 @@
   std::string zone;
   uint32_t slots = 1;
   bool draining = false;
-  /// How much longer the leaf is slow from its start, when it was first heard of.
+  /// For how much longer the leaf is slow after its start, as of its first heartbeat.
   uint64_t cold_milliseconds = 0;
-  /// When this life of the leaf began, by its own clock in milliseconds since the epoch; zero: it
-  /// did not say. A leaf may start again under the same id.
+  /// Start time of this incarnation of the leaf, by its own clock in milliseconds since the epoch.
+  /// Zero: not reported. A leaf may restart with the same id.
   uint64_t born_ms = 0;
   bool operator==(const LeafRecord&) const = default;
 };
 
-/// A gateway's word to a control machine that it is there; its heartbeat.
+/// A gateway's heartbeat to a control machine.
 struct GatewayPresence {
   std::string node;
   uint64_t incarnation = 0;
-  /// Where clients reach it.
+  /// Address for clients.
   std::string address;
   std::string zone;
-  /// False: clients must not be sent there (any more).
+  /// False: clients must not, or no longer, be sent to this gateway.
   bool serving = false;
-  /// Version of this control machine's leafs that the gateway holds.
+  /// Version of this control machine's list of leafs that the gateway has.
   uint64_t leaf_version = 0;
-  /// Where other gateways reach it; empty: nowhere.
+  /// Address for other gateways. Empty: none.
   std::string peer_address = {};
-  /// The gateway wants to hear of other gateways from this control machine, of which it holds the
-  /// list of version `peers_version`.
+  /// Requests the list of other gateways from this control machine. The gateway has version
+  /// `peers_version` of it.
   bool wants_peers = false;
   uint64_t peers_version = 0;
 };
 
-/// A gateway that serves, as other gateways know it.
+/// A serving gateway as other gateways know it.
 struct GatewayRecord {
   std::string node;
   std::string zone;
   std::string peer_address;
-  /// Where clients reach it.
+  /// Address for clients.
   std::string address = {};
   bool operator==(const GatewayRecord&) const = default;
 };
 
-/// What changed among the gateways that one control machine hears of.
+/// Changes among the gateways that send heartbeats to one control machine.
 struct GatewayFeed {
-  /// Zero: `peers` is everything; else what changed since that version.
+  /// Zero: `peers` is the full list. Otherwise it lists the changes since that version.
   uint64_t from_version = 0;
   uint64_t version = 0;
   std::vector<GatewayRecord> peers;
-  /// Gateways that are gone or no longer serve.
+  /// Gateways that are removed or no longer serving.
   std::vector<std::string> gone;
 };
 
-/// One gateway asks another to gather a group of shards, each a service, and to merge their parts.
-/// The shards are named by the sender's document, so that the parts of all groups come from one.
+/// Requests that another gateway gathers a group of shards, each a service, and merges their
+/// results. The sender's document names the shards, so that the results of all groups are based on
+/// the same document.
 struct PartialQuery {
-  /// Unique among the sender's questions.
+  /// Unique among the sender's partial queries.
   uint64_t id = 0;
   std::string route;
   /// The client's own name for its attempt.
   std::string request_id;
-  /// What is asked for and for whom.
+  /// Identifies the content and the caller of the request.
   RequestIdentity identity;
   std::string method;
-  /// Method, target and headers as they go to every leaf.
+  /// Method, target and headers as sent to every leaf.
   std::string head;
   std::string payload;
-  /// Time left for the whole request when this was written.
+  /// Time left for the whole request when this message was written.
   Duration budget{};
-  /// What is in by then is reported; later parts as they come.
+  /// The results available after this time are reported together; later ones as they arrive.
   Duration report_after{};
   Duration objective{};
   uint32_t top_records = 0;
-  /// Leafs that each shard may be sent to.
+  /// Maximum number of leafs that the sub-request of a shard may be sent to.
   uint32_t max_attempts = 1;
-  /// Another gateway was asked before and may have sent: every sub-request counts as extra load.
+  /// Another gateway got this group before and may have sent sub-requests, so every sub-request
+  /// counts as extra load.
   bool again = false;
-  /// Nothing may be sent to a leaf before this is confirmed (PartialConfirm).
+  /// No sub-request may be sent before the query is confirmed (PartialConfirm).
   bool stand_by = false;
-  /// Groups that the sender cut all shards into.
+  /// Number of groups that the sender divided all shards into.
   uint32_t groups = 1;
   std::vector<std::string> shards;
-  /// Regions whose leafs alone may be asked; empty: any.
+  /// Allowed regions: only their leafs may get sub-requests. Empty: any.
   std::vector<std::string> homes;
-  /// Whose request it is; empty: nobody's, or the document has no tenants.
+  /// The caller's tenant. Empty: none, or the document has no tenants.
   std::string tenant;
   /// Zero is the most urgent.
   uint32_t priority = 0;
@@ -249,133 +252,134 @@
 
 struct PartialCancel {
   uint64_t id = 0;
-  /// Nobody waits any more: work at leafs must end.
+  /// No caller waits for the result any more, so running sub-requests must be stopped.
   bool stop_work = false;
 };
 
-/// The gateway that asked has heard that its question was taken: it asks nobody else from now on,
-/// and each shard may be sent to as often as the question says. Until then: once, or never if the
-/// question said so.
+/// Confirms that the sender of a partial query knows it was accepted and will not ask another
+/// gateway. From then on each shard may get up to `max_attempts` sub-requests. Before it gets one,
+/// or none with `stand_by`.
 struct PartialConfirm {
   uint64_t id = 0;
 };
 
 enum class PartialStage : uint32_t {
-  /// The question was taken; also repeated as a sign of life.
+  /// The query was accepted. Repeated as a keep-alive.
   kAccepted = 1,
-  /// Some more parts.
+  /// Further shard results.
   kParts = 2,
-  /// The last word.
+  /// The final message.
   kDone = 3,
-  /// Nothing was sent to any leaf, and nothing will be.
+  /// The query was refused: no sub-request was or will be sent.
   kRefused = 4,
 };
 
-/// The part of one shard, by its place in the question.
+/// The result of one shard, given by its index in the partial query.
 struct PartialPart {
   uint32_t shard = 0;
   std::string signature;
 };
 
-/// A shard that gives no part, with a query::MissingReason.
+/// A shard without a result, with a query::MissingReason.
 struct PartialGap {
   uint32_t shard = 0;
   uint32_t reason = 0;
 };
 
-/// Word of the gateway that merges a group; parts are told once.
+/// Response of the gateway that merges a group. Each shard result is sent once.
 struct PartialAnswer {
   uint64_t id = 0;
   PartialStage stage = PartialStage::kAccepted;
   std::vector<PartialPart> parts;
-  /// The greatest records of these parts.
+  /// The top records of these shard results.
   std::string records;
-  /// Shards of which no part will come. The last word names all that are missing.
+  /// Shards that will have no result. The final message lists all missing shards.
   std::vector<PartialGap> gaps;
-  /// A query::RunState, with the last word only.
+  /// A query::RunState, in the final message only.
   uint32_t run = 0;
   /// Sub-requests beyond the first of each shard.
   uint32_t extra = 0;
 };
 
-/// One sub-request whose connection ended without an answer.
+/// A sub-request whose connection ended without a response.
 struct LostRun {
   RequestIdentity identity;
-  /// Tells the client's attempts at the same request apart.
+  /// Distinguishes the client's attempts at the same request.
   uint64_t attempt = 0;
   std::string leaf;
   std::string service;
 };
 
-/// A gateway or node tells control of runs that were lost with their leaf, and what has proved
-/// harmless since. Control machines that don't lead pass a node's report on.
+/// Reports to the control machines which runs of a gateway or node were lost with their leaf, and
+/// which requests and leafs were cleared since. The control machine that receives a report forwards
+/// it to the others.
 struct RunReport {
   std::vector<LostRun> lost;
-  /// Requests that lost runs before and have now succeeded.
+  /// Requests that lost runs before and have succeeded since.
   std::vector<RequestIdentity> succeeded;
-  /// Leafs at which runs were lost before and which live all the same.
+  /// Leafs that lost runs before and are still alive.
   std::vector<std::string> answering;
-  /// Passed on already, or sent to every control machine.
+  /// Already forwarded, or sent to every control machine by its reporter; not forwarded again.
   bool relayed = false;
-  /// Names this life of the process that reports.
+  /// Identifies the reporting process and its incarnation.
   uint64_t reporter = 0;
-  /// Counts its reports: one that comes again counts once. Zero: reports are not counted.
+  /// Sequence number of the report; a repeated one counts once. Zero: reports are not numbered.
   uint64_t number = 0;
-  /// How long ago this was seen, when it was told.
+  /// Age of the observation when the report was sent.
   Duration age{};
 };
 
-/// A control machine that is in touch with a quorum has taken the report of this number.
+/// Acknowledges the report of this number. Sent by control machines in contact with a quorum.
 struct RunReportTaken {
   uint64_t number = 0;
 };
 
-/// Control warns of requests that were at several leafs as these ended, and succeeded nowhere
-/// since: whoever gets one tries it at one leaf first.
+/// Warns of suspect requests: they were running at several leafs when these ended, and have not
+/// succeeded since. The receiver tries such a request at a single leaf first.
 struct SuspectNotice {
   std::vector<RequestIdentity> requests;
 };
 
-/// What changed among the leafs that report to one control machine.
+/// Changes among the leafs that report to one control machine.
 struct LeafFeed {
-  /// Zero: `records` is everything; else what changed since that version.
+  /// Zero: `records` is the full list. Otherwise it lists the changes since that version.
   uint64_t from_version = 0;
   uint64_t version = 0;
   std::vector<LeafRecord> records;
-  /// Leafs that are gone or silent.
+  /// Leafs that were removed or whose heartbeats timed out.
   std::vector<std::string> gone;
-  /// Frame addresses of the control machines known to the sender, when the receiver's connection is
-  /// new or they have changed.
+  /// Frame addresses of the control machines known to the sender. Set if the receiver's connection
+  /// is new or the addresses have changed.
   std::vector<std::string> control;
-  /// Gateways known to the sender.
+  /// Number of gateways known to the sender.
   uint32_t gateways = 0;
-  /// Where the sender is.
+  /// The sender's zone.
   std::string zone = {};
-  /// The sender is in touch with a quorum, as far as it can know.
+  /// Whether the sender is in contact with a quorum, as far as it can know.
   bool current = false;
 };
 
-/// A gateway asks one that keeps an account of a tenant for the right to send requests of it, gives
-/// back what it did not use, or claims the account itself.
+/// A limit request. Asks the gateway that is the lender of a tenant's account for the right to send
+/// requests of the tenant, returns unused tokens, or claims the account for the sender.
 struct LimitAsk {
-  /// Unique among the sender's questions.
+  /// Unique among the sender's limit requests.
   uint64_t id = 0;
   std::string tenant;
-  /// Which of the tenant's accounts.
+  /// Index of the account among the tenant's accounts.
   uint32_t part = 0;
   uint32_t wanted = 0;
-  /// The sender keeps the account from now on.
+  /// The sender becomes the lender of the account.
   bool claim = false;
-  /// Lent by the answer to the question `returned_of` and not used.
+  /// Unused tokens of the grant for the limit request `returned_of`.
   uint32_t returned = 0;
   uint64_t returned_of = 0;
 };
 
 enum class LimitStage : uint32_t {
   kGranted = 1,
-  /// Nothing is left for now.
+  /// No tokens are left for now.
   kExhausted = 2,
-  /// Does not keep the account, or cannot tell yet that nobody else does.
+  /// The receiver is not the lender of the account, or cannot yet rule out that another gateway is.
   kNotKeeper = 3,
 };
 
@@ -384,11 +388,12 @@
   uint64_t id = 0;
   std::string tenant;
   LimitStage stage = LimitStage::kNotKeeper;
-  /// Lent; to a claim that is granted: what the account holds, which goes over to the claimer.
+  /// Tokens lent. If a claim is granted: the balance of the account, transferred to the sender of
+  /// the claim.
   uint32_t granted = 0;
-  /// What is granted may be used for this long after the question was sent.
+  /// Granted tokens may be used for this long after the limit request was sent.
   Duration lifetime{};
-  /// If exhausted: when tokens will be there.
+  /// If exhausted: time until tokens are available.
   Duration retry_after{};
 };
 
@@ -400,7 +405,7 @@
 
 struct Envelope {
   std::string cluster;
-  /// The sender's configuration version, so that a stale peer notices at once.
+  /// The sender's configuration version, by which a peer with a stale one detects it at once.
   uint64_t version = 0;
   Body body;
 };
@@ -411,7 +416,7 @@
   bool operator==(const HardState&) const = default;
 };
 
-/// What a data folder is: whose, and which incarnation of it.
+/// Identifies the cluster, the machine and the incarnation that a data folder belongs to.
 struct Identity {
   MemberId member = 0;
   std::string cluster;
--- a/src/wire/packing.cc
+++ b/src/wire/packing.cc
@@ -9,19 +9,19 @@
 namespace pumicedyke::wire {
 namespace {
 
-constexpr char kMark = 1;
-/// Shorter texts are not worth the time.
-constexpr size_t kShortest = 512;
-/// As long as the longest frame.
-constexpr size_t kLongest = size_t{64} << 20;
-/// Four bytes of length, most significant first, after the mark.
+constexpr char kPackedMarker = 1;
+/// Compressing shorter texts is not worth the time.
+constexpr size_t kMinPackedBytes = 512;
+/// The maximum frame size.
+constexpr size_t kMaxTextBytes = size_t{64} << 20;
+/// The marker is followed by the length in four bytes, most significant first.
 constexpr size_t kLengthBytes = 4;
 constexpr size_t kHeaderBytes = 1 + kLengthBytes;
 constexpr unsigned kBitsPerByte = 8;
 constexpr unsigned kByteMask = 0xff;
 
 std::string Header(size_t length) {
-  std::string header(1, kMark);
+  std::string header(1, kPackedMarker);
   for (size_t i = 0; i < kLengthBytes; ++i) {
     const size_t shift = kBitsPerByte * (kLengthBytes - 1 - i);
     header.push_back(static_cast<char>((length >> shift) & kByteMask));
@@ -40,7 +40,7 @@
 }  // namespace
 
 std::string Pack(std::string_view text) {
-  if (text.size() < kShortest || text.size() > kLongest) {
+  if (text.size() < kMinPackedBytes || text.size() > kMaxTextBytes) {
     return std::string(text);
   }
   std::string packed = Header(text.size());
@@ -57,11 +57,11 @@
 }
 
 absl::StatusOr<std::string> Unpack(std::string_view bytes) {
-  if (bytes.empty() || bytes.front() != kMark) {
+  if (bytes.empty() || bytes.front() != kPackedMarker) {
     return std::string(bytes);
   }
-  const size_t length = bytes.size() < kHeaderBytes ? kLongest + 1 : LengthOf(bytes);
-  if (length > kLongest) {
+  const size_t length = bytes.size() < kHeaderBytes ? kMaxTextBytes + 1 : LengthOf(bytes);
+  if (length > kMaxTextBytes) {
     return MakeStatus(ResultCode::kMalformedRequest, "packed bytes of a wrong length");
   }
   std::string text(length, '\0');
--- a/src/wire/packing.h
+++ b/src/wire/packing.h
@@ -1,5 +1,6 @@
-// Compression of what many receivers get: packed once by the sender, unpacked by each. Most of the
-// bytes between control and nodes are documents and lists of leafs in JSON.
+// Compression of data that many receivers get. The sender packs it once, and each receiver unpacks
+// it. Most of the bytes between control machines and nodes are documents and lists of leafs in
+// JSON.
 #pragma once
 
 #include <string>
@@ -9,12 +10,13 @@
 
 namespace pumicedyke::wire {
 
-/// @param text does not begin with the byte 1, as no JSON does.
+/// Compresses `text`, which must not begin with the byte 1 (JSON never does).
 /// @return the text itself if it is short or does not shrink.
 std::string Pack(std::string_view text);
 
-/// @return what was packed; bytes that Pack() left as they were come back as they are;
-/// kMalformedRequest if they are broken or would be longer than a frame may be.
+/// Reverses Pack(), including for texts that Pack() returned unchanged.
+/// @return kMalformedRequest if the bytes are damaged or the text would exceed the maximum frame
+/// size.
 absl::StatusOr<std::string> Unpack(std::string_view bytes);
 
 }  // namespace pumicedyke::wire
--- a/test/wire/codec_test.cc
+++ b/test/wire/codec_test.cc
@@ -1,4 +1,4 @@
-// Messages survive encoding; bytes that are no message are refused.
+// Tests that messages survive encoding and decoding, and that invalid bytes are refused.
 #include "wire/codec.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -14,13 +14,13 @@
   CPPUNIT_TEST(FeedSurvives);
   CPPUNIT_TEST(LedgerRequestSurvives);
   CPPUNIT_TEST(LargeEntriesSurvive);
-  CPPUNIT_TEST(GreetingsAreSmall);
+  CPPUNIT_TEST(HellosAreSmall);
   CPPUNIT_TEST(PartialQuerySurvives);
   CPPUNIT_TEST(PartialAnswerSurvives);
   CPPUNIT_TEST(GatewayFeedAndPresenceSurvive);
   CPPUNIT_TEST(GarbageIsRefusedOrHarmless);
   CPPUNIT_TEST(RunReportsAndNoticesSurvive);
-  CPPUNIT_TEST(LimitAsksAndGrantsSurvive);
+  CPPUNIT_TEST(LimitRequestsAndGrantsSurvive);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -56,7 +56,7 @@
     CPPUNIT_ASSERT_EQUAL(uint64_t{8}, back.request);
   }
 
-  void LimitAsksAndGrantsSurvive() {
+  void LimitRequestsAndGrantsSurvive() {
     const LimitAsk ask{uint64_t{5} << 40, "tenant", 3, 17, true, 2, uint64_t{4} << 40};
     const auto asked = DecodeEnvelope(Encode(Envelope{"c", 1, ask}));
     CPPUNIT_ASSERT(asked.ok());
@@ -71,13 +71,13 @@
     const LimitGrant grant{9, "tenant", LimitStage::kExhausted, 4, Milliseconds(300), Seconds(2)};
     const auto granted = DecodeEnvelope(Encode(Envelope{"c", 1, grant}));
     CPPUNIT_ASSERT(granted.ok());
-    const auto& word = std::get<LimitGrant>(granted->body);
-    CPPUNIT_ASSERT_EQUAL(grant.id, word.id);
-    CPPUNIT_ASSERT_EQUAL(grant.tenant, word.tenant);
-    CPPUNIT_ASSERT(grant.stage == word.stage);
-    CPPUNIT_ASSERT_EQUAL(grant.granted, word.granted);
-    CPPUNIT_ASSERT(grant.lifetime == word.lifetime);
-    CPPUNIT_ASSERT(grant.retry_after == word.retry_after);
+    const auto& back_grant = std::get<LimitGrant>(granted->body);
+    CPPUNIT_ASSERT_EQUAL(grant.id, back_grant.id);
+    CPPUNIT_ASSERT_EQUAL(grant.tenant, back_grant.tenant);
+    CPPUNIT_ASSERT(grant.stage == back_grant.stage);
+    CPPUNIT_ASSERT_EQUAL(grant.granted, back_grant.granted);
+    CPPUNIT_ASSERT(grant.lifetime == back_grant.lifetime);
+    CPPUNIT_ASSERT(grant.retry_after == back_grant.retry_after);
   }
 
   void PartialQuerySurvives() {
@@ -149,36 +149,36 @@
 
   void GatewayFeedAndPresenceSurvive() {
     const GatewayFeed feed{4, 6, {{"g1", "north", "10.0.0.1:7500"}}, {"g2"}};
-    const auto fed = DecodeEnvelope(Encode(Envelope{"c", 1, feed}));
-    CPPUNIT_ASSERT(fed.ok());
-    const auto& back = std::get<GatewayFeed>(fed->body);
+    const auto decoded_feed = DecodeEnvelope(Encode(Envelope{"c", 1, feed}));
+    CPPUNIT_ASSERT(decoded_feed.ok());
+    const auto& back = std::get<GatewayFeed>(decoded_feed->body);
     CPPUNIT_ASSERT_EQUAL(uint64_t{4}, back.from_version);
     CPPUNIT_ASSERT_EQUAL(uint64_t{6}, back.version);
     CPPUNIT_ASSERT(back.peers == feed.peers);
     CPPUNIT_ASSERT(back.gone == feed.gone);
     GatewayPresence presence{"g1", 3, "10.0.0.1:80", "north", true, 5, "10.0.0.1:7500", true, 6};
-    const auto present = DecodeEnvelope(Encode(Envelope{"c", 1, presence}));
-    CPPUNIT_ASSERT(present.ok());
-    const auto& told = std::get<GatewayPresence>(present->body);
-    CPPUNIT_ASSERT_EQUAL(presence.peer_address, told.peer_address);
-    CPPUNIT_ASSERT(told.wants_peers);
-    CPPUNIT_ASSERT_EQUAL(uint64_t{6}, told.peers_version);
+    const auto decoded_presence = DecodeEnvelope(Encode(Envelope{"c", 1, presence}));
+    CPPUNIT_ASSERT(decoded_presence.ok());
+    const auto& back_presence = std::get<GatewayPresence>(decoded_presence->body);
+    CPPUNIT_ASSERT_EQUAL(presence.peer_address, back_presence.peer_address);
+    CPPUNIT_ASSERT(back_presence.wants_peers);
+    CPPUNIT_ASSERT_EQUAL(uint64_t{6}, back_presence.peers_version);
   }
 
-  /// Sent four times a second by each node: bounds what a node spends on control.
-  void GreetingsAreSmall() {
-    constexpr size_t kMostBytes = 128;
+  /// Each node sends a hello four times a second, so its size bounds a node's control traffic.
+  void HellosAreSmall() {
+    constexpr size_t kMaxBytes = 128;
     const uint64_t year_us = uint64_t{365} * 24 * 3600 * 1000000;
     const NodeHello hello{"node-of-a-usual-name-4711", ~uint64_t{0}, 1000000, false, year_us};
-    CPPUNIT_ASSERT(Encode(Envelope{"cluster", 1000000, hello}).size() < kMostBytes);
+    CPPUNIT_ASSERT(Encode(Envelope{"cluster", 1000000, hello}).size() < kMaxBytes);
     ConfigFeed feed;
     feed.version = 1000000;
     feed.echo = year_us;
     feed.proof_age = Milliseconds(400);
-    CPPUNIT_ASSERT(Encode(Envelope{"cluster", 1000000, feed}).size() < kMostBytes);
+    CPPUNIT_ASSERT(Encode(Envelope{"cluster", 1000000, feed}).size() < kMaxBytes);
   }
 
-  /// nanopb as packaged counts field sizes in 16 bits; larger values are cut into pieces.
+  /// nanopb as packaged counts field sizes in 16 bits, so larger values are split into pieces.
   void LargeEntriesSurvive() {
     RaftMessage message;
     message.type = RaftMessageType::kAppend;
@@ -195,16 +195,16 @@
 
   void GarbageIsRefusedOrHarmless() {
     const bool held = rc::check("garbage does no harm", [](const std::string& bytes) {
-      // Either it is refused, or it happens to be a message, which can then be encoded again.
+      // Random bytes are either refused or happen to be a message, which can be encoded again.
       const auto decoded = DecodeEnvelope(bytes);
       if (decoded.ok()) {
         RC_ASSERT(DecodeEnvelope(Encode(*decoded)).ok());
       }
     });
     CPPUNIT_ASSERT(held);
-    std::string cut = Encode(Envelope{"cluster", 1, ConfigFeed{1, true, "state", {}, 0}});
-    cut.resize(cut.size() / 2);
-    CPPUNIT_ASSERT(!DecodeEnvelope(cut).ok());
+    std::string truncated = Encode(Envelope{"cluster", 1, ConfigFeed{1, true, "state", {}, 0}});
+    truncated.resize(truncated.size() / 2);
+    CPPUNIT_ASSERT(!DecodeEnvelope(truncated).ok());
   }
 
   void RunReportsAndNoticesSurvive() {
@@ -225,9 +225,9 @@
     CPPUNIT_ASSERT(back.answering == report.answering);
     CPPUNIT_ASSERT(back.relayed);
     const SuspectNotice notice{{{9, 10}, {11, 12}}};
-    const auto told = DecodeEnvelope(Encode(Envelope{"c", 1, notice}));
-    CPPUNIT_ASSERT(told.ok());
-    CPPUNIT_ASSERT(std::get<SuspectNotice>(told->body).requests == notice.requests);
+    const auto decoded_notice = DecodeEnvelope(Encode(Envelope{"c", 1, notice}));
+    CPPUNIT_ASSERT(decoded_notice.ok());
+    CPPUNIT_ASSERT(std::get<SuspectNotice>(decoded_notice->body).requests == notice.requests);
   }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(CodecTest);
--- a/test/wire/packing_test.cc
+++ b/test/wire/packing_test.cc
@@ -1,4 +1,4 @@
-// Packed texts come back as they were; broken ones are refused.
+// Tests that unpacking restores packed texts and refuses damaged ones.
 #include "wire/packing.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -8,13 +8,13 @@
 
 class PackingTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PackingTest);
-  CPPUNIT_TEST(TextsComeBack);
+  CPPUNIT_TEST(PackedTextsAreRestored);
   CPPUNIT_TEST(RepetitiveTextShrinks);
-  CPPUNIT_TEST(BrokenBytesAreRefused);
+  CPPUNIT_TEST(DamagedBytesAreRefused);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void TextsComeBack() {
+  void PackedTextsAreRestored() {
     const bool held = rc::check("texts come back", [](const std::string& piece) {
       std::string text = "{";
       const int times = *rc::gen::inRange(0, 200);
@@ -34,11 +34,11 @@
     CPPUNIT_ASSERT_EQUAL(std::string("{}"), Pack("{}"));
   }
 
-  void BrokenBytesAreRefused() {
+  void DamagedBytesAreRefused() {
     std::string packed = Pack(std::string(10000, 'x'));
     CPPUNIT_ASSERT(!Unpack(packed.substr(0, packed.size() / 2)).ok());
     CPPUNIT_ASSERT(!Unpack(packed.substr(0, 3)).ok());
-    // More than any frame holds.
+    // A length above the maximum frame size.
     packed[1] = '\xff';
     CPPUNIT_ASSERT(!Unpack(packed).ok());
   }
