--- a/src/storage/file_system.h
+++ b/src/storage/file_system.h
@@ -1,5 +1,5 @@
-// The few file operations that durable state needs. The simulator's implementation loses what was
-// not synced, so the storage code above runs unchanged in production and in simulation.
+// The file operations that durable state needs. The simulator has its own implementation, which
+// loses unsynced data in a crash, so the storage code runs unchanged in production and simulation.
 #pragma once
 
 #include <memory>
@@ -16,13 +16,14 @@
 class AppendFile {
  public:
   virtual ~AppendFile() = default;
-  /// Adds bytes at the end; they may be lost until Sync() returned OK.
+  /// Appends bytes. They may be lost in a crash until Sync() has returned OK.
   virtual absl::Status Append(std::string_view bytes) = 0;
-  /// After OK all appended bytes survive a crash (if the directory entry was synced too).
+  /// Once this has returned OK, all appended bytes survive a crash, provided that the directory
+  /// entry was synced, too.
   virtual absl::Status Sync() = 0;
 };
 
-/// One flat data folder.
+/// A data folder without subfolders.
 class FileSystem {
  public:
   virtual ~FileSystem() = default;
@@ -30,7 +31,7 @@
   virtual absl::StatusOr<std::string> Read(const std::string& name) = 0;
   /// Opens for appending, creating the file if needed.
   virtual absl::StatusOr<std::unique_ptr<AppendFile>> OpenAppend(const std::string& name) = 0;
-  /// Cuts a file to `size` bytes and syncs it.
+  /// Truncates a file to `size` bytes and syncs it.
   virtual absl::Status Truncate(const std::string& name, size_t size) = 0;
   /// Atomically replaces `to` by `from`; durable after SyncDirectory().
   virtual absl::Status Rename(const std::string& from, const std::string& to) = 0;
--- a/src/storage/log_storage.cc
+++ b/src/storage/log_storage.cc
@@ -28,8 +28,9 @@
   return XXH64(payload.data(), payload.size(), payload.size());
 }
 
-/// Takes the next whole record off `bytes`; nothing if it is short or damaged.
-std::optional<wire::StorageRecord> TakeRecord(std::string_view* bytes) {
+/// Removes the next record from the front of `bytes`. @return nullopt if it is incomplete or
+/// damaged.
+std::optional<wire::StorageRecord> ReadRecord(std::string_view* bytes) {
   RecordHeader header;
   if (bytes->size() < sizeof(header)) {
     return std::nullopt;
@@ -53,19 +54,20 @@
   return *std::move(record);
 }
 
-/// Whether a whole record stands somewhere in `bytes`, which begin with a bad one. A torn tail has
-/// none: what follows a write that did not complete was never written either.
-bool HoldsRecord(std::string_view bytes) {
+/// Whether `bytes`, which begin with a bad record, contain a valid one. A torn tail has none, as
+/// nothing was written after the write that did not complete.
+bool ContainsRecord(std::string_view bytes) {
   for (size_t skip = 1; skip < bytes.size(); ++skip) {
     std::string_view rest = bytes.substr(skip);
-    if (TakeRecord(&rest).has_value()) {
+    if (ReadRecord(&rest).has_value()) {
       return true;
     }
   }
   return false;
 }
 
-/// An entry replaces whatever the log held from its index on, as when it was first appended.
+/// Applies an entry read from the log file: it replaces all entries from its index on, as it did
+/// when it was first appended.
 void ReplayEntry(wire::LogEntry entry, std::vector<wire::LogEntry>* entries) {
   while (!entries->empty() && entries->back().index >= entry.index) {
     entries->pop_back();
@@ -75,9 +77,10 @@
   }
 }
 
-/// A crash between the two renames of SaveSnapshot() leaves the old log beside the new snapshot.
-/// Its suffix may stay only if it holds the snapshot's own last entry: an entry after a
-/// conflicting one would break the log matching property.
+/// Drops the entries that the snapshot covers. A crash between the two renames of SaveSnapshot()
+/// leaves the old log beside the new snapshot. The log's suffix may be kept only if the log
+/// contains the last entry of the snapshot: entries after a conflicting one would break the log
+/// matching property.
 void DropCoveredEntries(const wire::SnapshotData& snapshot, std::vector<wire::LogEntry>* entries) {
   if (entries->empty() || entries->front().index == snapshot.index + 1) {
     return;
@@ -113,7 +116,7 @@
     return content.status();
   }
   std::string_view bytes = *content;
-  std::optional<wire::StorageRecord> record = TakeRecord(&bytes);
+  std::optional<wire::StorageRecord> record = ReadRecord(&bytes);
   if (!record.has_value() || !std::holds_alternative<wire::Identity>(*record)) {
     return MakeStatus(ResultCode::kCorruptState, "identity file is damaged");
   }
@@ -124,7 +127,7 @@
   if (file_system_->Read(kIdentityFile).ok()) {
     return MakeStatus(ResultCode::kInvalidConfig, "data folder is already formatted");
   }
-  // The identity comes last: a crash before it leaves an unformatted folder.
+  // The identity is written last, so that a crash before leaves an unformatted folder.
   absl::Status status = ReplaceFile(kSnapshotFile, FrameRecord(initial));
   if (!status.ok()) {
     return status;
@@ -146,7 +149,7 @@
     return snapshot.status();
   }
   std::string_view snapshot_bytes = *snapshot;
-  std::optional<wire::StorageRecord> record = TakeRecord(&snapshot_bytes);
+  std::optional<wire::StorageRecord> record = ReadRecord(&snapshot_bytes);
   if (!record.has_value() || !std::holds_alternative<wire::SnapshotData>(*record)) {
     return MakeStatus(ResultCode::kCorruptState, "snapshot file is damaged");
   }
@@ -158,15 +161,16 @@
   }
   const std::string log = std::move(read).value_or("");
   std::string_view bytes = log;
-  while (std::optional<wire::StorageRecord> next = TakeRecord(&bytes)) {
+  while (std::optional<wire::StorageRecord> next = ReadRecord(&bytes)) {
     if (auto* entry = std::get_if<wire::LogEntry>(&*next)) {
       ReplayEntry(std::move(*entry), &state.entries);
     } else if (auto* hard_state = std::get_if<wire::HardState>(&*next)) {
       state.hard_state = *hard_state;
     }
   }
-  if (HoldsRecord(bytes)) {
-    // Cutting here would forget what was acknowledged; a vote on that could lose it for good.
+  if (ContainsRecord(bytes)) {
+    // Truncating here would drop acknowledged entries, and a vote based on the rest could lose them
+    // for good.
     return MakeStatus(ResultCode::kCorruptState,
                       "the log is damaged in the middle; empty the data folder, and this machine "
                       "joins again as a new replica");
@@ -184,8 +188,8 @@
   if (!status.ok()) {
     return status;
   }
-  // A killed process leaves bytes that were written but not synced; what is read here must be as
-  // certain as what this life appends.
+  // A killed process leaves bytes that were written but not synced. They are synced here, so that
+  // recovered entries are as durable as those that this incarnation appends.
   dirty_ = !log.empty();
   status = Sync();
   if (!status.ok()) {
@@ -256,8 +260,8 @@
 absl::Status LogStorage::SaveSnapshot(const wire::SnapshotData& snapshot,
                                       const wire::HardState& hard_state,
                                       const std::vector<wire::LogEntry>& entries) {
-  // The snapshot is durable before the log that it replaces goes: a crash in between leaves
-  // entries that the snapshot covers, which recovery passes over.
+  // The snapshot is made durable before the old log is replaced. A crash in between leaves entries
+  // that the snapshot covers, which recovery drops.
   absl::Status status = ReplaceFile(kSnapshotFile, FrameRecord(snapshot));
   if (!status.ok()) {
     return status;
--- a/src/storage/log_storage.h
+++ b/src/storage/log_storage.h
@@ -1,10 +1,12 @@
 // Durable state of one control replica: identity, hard state, log entries and the latest snapshot.
 //
 // Files: `identity` (written once), `log` (records appended), `snapshot` (replaced atomically).
-// A record is its length, an xxHash64 of the payload, and the payload (a wire::StorageRecord).
-// After a crash the log is cut at the first record that is short or whose checksum differs; only
-// records that were never synced can be there, because nothing is acknowledged before Sync(). If
-// whole records follow the bad one, it is no torn tail but damage: recovery is refused.
+// A record consists of its length, an xxHash64 of the payload, and the payload (a
+// wire::StorageRecord).
+//
+// After a crash the log is truncated at the first record that is incomplete or fails its checksum.
+// This loses only records that were never synced, because nothing is acknowledged before Sync().
+// If a valid record follows the bad one, the log is not torn but damaged, and recovery is refused.
 #pragma once
 
 #include <cstdint>
@@ -25,12 +27,12 @@
   wire::SnapshotData snapshot;
   /// Entries after the snapshot, without gaps.
   std::vector<wire::LogEntry> entries;
-  /// Bytes of a torn tail that were cut.
+  /// Bytes of a torn tail that were truncated.
   size_t cut_bytes = 0;
 };
 
 struct LogStorageOptions {
-  /// Off only in simulations that show what syncing is for.
+  /// False only in simulations that show what syncing prevents.
   bool sync_before_ack = true;
 };
 
@@ -38,19 +40,21 @@
  public:
   LogStorage(FileSystem* file_system, LogStorageOptions options);
 
-  /// @return NotFound if the folder was never formatted, kCorruptState if its identity is damaged.
+  /// @return NotFound if the folder is not formatted, kCorruptState if its identity is damaged.
   absl::StatusOr<wire::Identity> ReadIdentity();
-  /// Makes an empty folder this incarnation's; refused if it already has an identity.
+  /// Initializes an empty folder for this incarnation. Fails if the folder already has an identity.
   absl::Status Format(const wire::Identity& identity, const wire::SnapshotData& initial);
 
+  /// Reads the state from the files and opens the log for appending.
   /// @return kCorruptState if a file is damaged.
   absl::StatusOr<RecoveredState> Recover();
 
   absl::Status Append(const std::vector<wire::LogEntry>& entries);
   absl::Status SaveHardState(const wire::HardState& state);
-  /// Everything saved so far survives a crash once this returned OK.
+  /// Once this has returned OK, everything saved so far survives a crash.
   absl::Status Sync();
-  /// Replaces the snapshot, then the log by `hard_state` and `entries` (those after the snapshot).
+  /// Replaces the snapshot, then replaces the log by `hard_state` and `entries` (those after the
+  /// snapshot).
   absl::Status SaveSnapshot(const wire::SnapshotData& snapshot, const wire::HardState& hard_state,
                             const std::vector<wire::LogEntry>& entries);
 
@@ -69,7 +73,7 @@
   bool dirty_ = false;
 };
 
-/// Frames one record as it stands in a file.
+/// Encodes one record as stored in a file.
 std::string FrameRecord(const wire::StorageRecord& record);
 
 }  // namespace pumicedyke::storage
--- a/src/storage/posix_file_system.cc
+++ b/src/storage/posix_file_system.cc
@@ -70,8 +70,8 @@
   const std::string path = Path(name);
   const int descriptor = ::open(path.c_str(), O_RDONLY | O_CLOEXEC);
   if (descriptor < 0) {
-    // Only a file that is certainly not there counts as such: whoever takes a file that cannot be
-    // read for a missing one would write a new one over it.
+    // Only ENOENT counts as a missing file. A caller that mistook an unreadable file for a missing
+    // one would overwrite it.
     return errno == ENOENT ? absl::NotFoundError(name) : IoError("open", path);
   }
   std::string content;
--- a/src/storage/posix_file_system.h
+++ b/src/storage/posix_file_system.h
@@ -1,4 +1,4 @@
-// FileSystem over one real directory.
+// FileSystem on a directory of the operating system.
 #pragma once
 
 #include <string>
@@ -9,9 +9,9 @@
 
 class PosixFileSystem : public FileSystem {
  public:
-  /// @param folder must exist.
+  /// @param folder an existing directory.
   explicit PosixFileSystem(std::string folder);
-  /// Creates the folder (and its parents) if it is missing.
+  /// Creates the folder and its parents if they do not exist.
   static absl::Status CreateFolder(const std::string& folder);
 
   absl::StatusOr<std::string> Read(const std::string& name) override;
--- a/test/storage/log_storage_test.cc
+++ b/test/storage/log_storage_test.cc
@@ -1,4 +1,4 @@
-// Recovery of the log: cut at every byte, and against a model over random histories.
+// Tests recovery of the log: truncated at every byte, and against a model over random histories.
 #include "storage/log_storage.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -19,7 +19,7 @@
   return {index, term, wire::EntryKind::kCommand, std::move(data)};
 }
 
-/// A folder with an identity, a synced vote and `count` entries.
+/// Creates a folder with an identity, a synced vote and `count` entries.
 void Fill(sim::SimFileSystem* files, uint64_t count) {
   LogStorage storage(files, {});
   CPPUNIT_ASSERT(storage.Format({1, "test", "a"}, {}).ok());
@@ -35,18 +35,18 @@
 
 class LogStorageTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LogStorageTest);
-  CPPUNIT_TEST(CutAtEveryByteLeavesAPrefix);
-  CPPUNIT_TEST(ChangedByteIsNotTakenForARecord);
-  CPPUNIT_TEST(WhatWasSyncedSurvivesACrash);
-  CPPUNIT_TEST(WhatRecoveryFoundSurvivesACrash);
-  CPPUNIT_TEST(AppendingAfterACutTailWorks);
+  CPPUNIT_TEST(TruncationAtEveryByteLeavesAPrefix);
+  CPPUNIT_TEST(ChangedByteIsDetected);
+  CPPUNIT_TEST(SyncedEntriesSurviveACrash);
+  CPPUNIT_TEST(RecoveredEntriesSurviveACrash);
+  CPPUNIT_TEST(AppendingAfterATruncatedTailWorks);
   CPPUNIT_TEST(FolderIsFormattedOnce);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  /// A killed process leaves bytes that were written and not synced; its next life vouches for
-  /// what it read.
-  void WhatRecoveryFoundSurvivesACrash() {
+  /// A killed process leaves bytes that were written but not synced. The next incarnation relies on
+  /// what it recovers, so recovery must make these bytes durable.
+  void RecoveredEntriesSurviveACrash() {
     sim::SimFileSystem files(kSeed);
     Fill(&files, 1);
     {
@@ -63,7 +63,7 @@
     CPPUNIT_ASSERT_EQUAL(found->entries.size(), kept->entries.size());
   }
 
-  void CutAtEveryByteLeavesAPrefix() {
+  void TruncationAtEveryByteLeavesAPrefix() {
     constexpr uint64_t kEntries = 6;
     sim::SimFileSystem whole(kSeed);
     Fill(&whole, kEntries);
@@ -86,7 +86,7 @@
     CPPUNIT_ASSERT_EQUAL(kEntries, before);
   }
 
-  void ChangedByteIsNotTakenForARecord() {
+  void ChangedByteIsDetected() {
     sim::SimFileSystem whole(kSeed);
     Fill(&whole, 4);
     const std::string good = *whole.Read("log");
@@ -100,7 +100,8 @@
       CPPUNIT_ASSERT((*files.OpenAppend("log"))->Append(bad).ok());
       LogStorage storage(&files, {});
       const auto state = storage.Recover();
-      // In the last record it looks like a torn tail; anywhere else it must not be cut silently.
+      // Damage in the last record looks like a torn tail; elsewhere it must not be dropped
+      // silently.
       if (state.ok()) {
         CPPUNIT_ASSERT(at >= last_record);
         CPPUNIT_ASSERT_EQUAL(size_t{3}, state->entries.size());
@@ -112,7 +113,7 @@
   }
 
   /// Random appends, truncating appends, snapshots and crashes against a plain vector.
-  void WhatWasSyncedSurvivesACrash() {
+  void SyncedEntriesSurviveACrash() {
     const bool held = rc::check("synced entries survive", [](const std::vector<uint8_t>& steps) {
       sim::SimFileSystem files(kSeed);
       std::vector<std::string> model;
@@ -123,7 +124,7 @@
       uint64_t text = 0;
       for (const uint8_t step : steps) {
         if (step % 4 < 2) {
-          // A follower whose tail is overwritten: step decides how far back.
+          // A follower's tail is overwritten; `step` decides how far back.
           const uint64_t back = step % 4 == 0 ? 0 : std::min<uint64_t>(step / 64, model.size());
           model.resize(model.size() - back);
           model.push_back("text " + std::to_string(++text));
@@ -152,7 +153,7 @@
     CPPUNIT_ASSERT(held);
   }
 
-  void AppendingAfterACutTailWorks() {
+  void AppendingAfterATruncatedTailWorks() {
     sim::SimFileSystem files(kSeed);
     Fill(&files, 3);
     CPPUNIT_ASSERT(files.Truncate("log", files.Read("log")->size() - 1).ok());
