--- a/src/common/histogram.h
+++ b/src/common/histogram.h
@@ -1,4 +1,4 @@
-// A histogram of durations in fixed buckets. A plain struct and free functions over it; one thread.
+// A histogram of durations in fixed buckets: a plain struct and free functions. Not thread safe.
 #pragma once
 
 #include <array>
@@ -8,20 +8,20 @@
 
 namespace pumicedyke {
 
-/// Upper bounds of the buckets; the last bucket has none.
+/// Upper bounds of the buckets, inclusive. The last bucket has no bound.
 inline constexpr std::array<Duration, 14> kHistogramBounds = {
     Milliseconds(1),   Milliseconds(2),    Milliseconds(5),    Milliseconds(10),  Milliseconds(20),
     Milliseconds(30),  Milliseconds(50),   Milliseconds(80),   Milliseconds(100), Milliseconds(200),
     Milliseconds(500), Milliseconds(1000), Milliseconds(2000), Milliseconds(5000)};
 
 struct Histogram {
-  /// How many values each bucket holds by itself.
+  /// Number of values in each bucket, not cumulative.
   std::array<uint64_t, kHistogramBounds.size() + 1> counts{};
   uint64_t count = 0;
   Duration sum{};
 };
 
-/// Adds one value; negative ones count as zero.
+/// Adds one value. Negative values count as zero.
 void Record(Histogram* histogram, Duration value);
 
 }  // namespace pumicedyke
--- a/src/common/json.h
+++ b/src/common/json.h
@@ -1,4 +1,4 @@
-// JSON of the shared value types, and checked access to fields that came from outside.
+// JSON conversion of the shared value types, and checked parsing of external input.
 #pragma once
 
 #include <string>
@@ -20,7 +20,7 @@
   id.value = json.get<uint64_t>();
 }
 
-/// Parses outside input. @return kMalformedRequest naming `what` if it is not a JSON object.
+/// Parses external input. @return kMalformedRequest naming `what` if it is not a JSON object.
 absl::StatusOr<Json> ParseObject(const std::string& text, const std::string& what);
 
 }  // namespace pumicedyke
--- a/src/common/log.cc
+++ b/src/common/log.cc
@@ -11,12 +11,12 @@
 namespace pumicedyke {
 namespace {
 
-/// Bytes that may wait for the reader of standard output.
-constexpr size_t kWaitingBytes = 256 * 1024;
+/// Maximum bytes buffered for the reader of standard output.
+constexpr size_t kMaxBufferedBytes = 256 * 1024;
 
 std::shared_ptr<NonblockingSink>& Sink() {
   static auto* const sink =
-      new auto(std::make_shared<NonblockingSink>(STDOUT_FILENO, kWaitingBytes));
+      new auto(std::make_shared<NonblockingSink>(STDOUT_FILENO, kMaxBufferedBytes));
   return *sink;
 }
 
@@ -56,7 +56,7 @@
     written_ = 0;
   }
   if (written_ >= limit_) {
-    ++left_out_;
+    ++suppressed_;
     return false;
   }
   ++written_;
@@ -64,9 +64,9 @@
 }
 
 uint64_t LogLimiter::TakeLeftOut() {
-  const uint64_t left_out = left_out_;
-  left_out_ = 0;
-  return left_out;
+  const uint64_t suppressed = suppressed_;
+  suppressed_ = 0;
+  return suppressed;
 }
 
 }  // namespace pumicedyke
--- a/src/common/nonblocking_sink.cc
+++ b/src/common/nonblocking_sink.cc
@@ -9,7 +9,7 @@
 namespace pumicedyke {
 namespace {
 
-/// Lines are collected up to this before the descriptor is asked.
+/// Lines are collected up to this size before they are written.
 constexpr size_t kBatchBytes = 8 * 1024;
 
 }  // namespace
@@ -17,15 +17,15 @@
 void NonblockingSink::sink_it_(const spdlog::details::log_msg& message) {
   spdlog::memory_buf_t line;
   formatter_->format(message, line);
-  if (waiting_.size() + line.size() > capacity_) {
+  if (buffer_.size() + line.size() > capacity_) {
     Write();
   }
-  if (waiting_.size() + line.size() > capacity_) {
+  if (buffer_.size() + line.size() > capacity_) {
     ++dropped_;
     return;
   }
-  waiting_.append(line.data(), line.size());
-  if (waiting_.size() >= kBatchBytes) {
+  buffer_.append(line.data(), line.size());
+  if (buffer_.size() >= kBatchBytes) {
     Write();
   }
 }
@@ -34,7 +34,7 @@
 
 void NonblockingSink::Drain() {
   const std::lock_guard lock(mutex_);
-  if (!waiting_.empty()) {
+  if (!buffer_.empty()) {
     Write();
   }
 }
@@ -46,21 +46,21 @@
 
 void NonblockingSink::Write() {
   size_t written = 0;
-  while (written < waiting_.size()) {
-    // The descriptor is shared with other processes, so it is not made non-blocking: a pipe that
-    // polls writable takes PIPE_BUF bytes at once.
+  while (written < buffer_.size()) {
+    // The descriptor is shared with other processes, so it must not be made non-blocking. A pipe
+    // that polls as writable accepts PIPE_BUF bytes without blocking.
     pollfd ready{descriptor_, POLLOUT, 0};
     if (::poll(&ready, 1, 0) != 1 || (ready.revents & POLLOUT) == 0) {
       break;
     }
-    const size_t size = std::min<size_t>(PIPE_BUF, waiting_.size() - written);
-    const ssize_t result = ::write(descriptor_, waiting_.data() + written, size);
+    const size_t size = std::min<size_t>(PIPE_BUF, buffer_.size() - written);
+    const ssize_t result = ::write(descriptor_, buffer_.data() + written, size);
     if (result <= 0) {
       break;
     }
     written += static_cast<size_t>(result);
   }
-  waiting_.erase(0, written);
+  buffer_.erase(0, written);
 }
 
 }  // namespace pumicedyke
--- a/src/common/nonblocking_sink.h
+++ b/src/common/nonblocking_sink.h
@@ -1,4 +1,4 @@
-// A log sink over a descriptor that is written only as far as it takes bytes at once.
+// A log sink for a file descriptor that writes only what the descriptor accepts without blocking.
 #pragma once
 
 #include <cstdint>
@@ -11,12 +11,12 @@
 
 class NonblockingSink : public spdlog::sinks::base_sink<std::mutex> {
  public:
-  /// @param descriptor not owned. @param capacity bytes that may wait.
+  /// @param descriptor not owned. @param capacity maximum bytes buffered.
   NonblockingSink(int descriptor, size_t capacity) : descriptor_(descriptor), capacity_(capacity) {}
 
-  /// Lines that found no room.
+  /// Number of lines dropped because the buffer was full.
   uint64_t dropped();
-  /// Writes as much as the descriptor takes now.
+  /// Writes as much of the buffer as the descriptor accepts now.
   void Drain();
 
  protected:
@@ -28,7 +28,7 @@
 
   int descriptor_;
   size_t capacity_;
-  std::string waiting_;
+  std::string buffer_;
   uint64_t dropped_ = 0;
 };
 
--- a/src/common/recent_durations.cc
+++ b/src/common/recent_durations.cc
@@ -6,33 +6,33 @@
 namespace pumicedyke {
 namespace {
 
-constexpr double kFirstBound = 100;  // microseconds
+constexpr double kLowestBoundMicroseconds = 100;
 constexpr double kGrowth = 1.25;
 
 }  // namespace
 
-RecentDurations::RecentDurations(double memory) : keep_(std::exp2(-1 / std::max(1.0, memory))) {}
+RecentDurations::RecentDurations(double memory) : decay_(std::exp2(-1 / std::max(1.0, memory))) {}
 
 Duration RecentDurations::UpperBound(size_t bucket) {
-  return Duration(static_cast<int64_t>(kFirstBound * std::pow(kGrowth, bucket)));
+  return Duration(static_cast<int64_t>(kLowestBoundMicroseconds * std::pow(kGrowth, bucket)));
 }
 
 size_t RecentDurations::BucketOf(Duration value) {
   const auto length = static_cast<double>(value.count());
-  if (length <= kFirstBound) {
+  if (length <= kLowestBoundMicroseconds) {
     return 0;
   }
-  const auto bucket =
-      static_cast<size_t>(std::ceil(std::log(length / kFirstBound) / std::log(kGrowth)));
+  const auto bucket = static_cast<size_t>(
+      std::ceil(std::log(length / kLowestBoundMicroseconds) / std::log(kGrowth)));
   return std::min(bucket, kBuckets - 1);
 }
 
 void RecentDurations::Record(Duration value) {
   for (double& weight : weights_) {
-    weight *= keep_;
+    weight *= decay_;
   }
   weights_[BucketOf(value)] += 1;
-  weight_ = weight_ * keep_ + 1;
+  weight_ = weight_ * decay_ + 1;
 }
 
 double RecentDurations::ShareWithin(Duration limit) const {
--- a/src/common/recent_durations.h
+++ b/src/common/recent_durations.h
@@ -1,6 +1,6 @@
-// How long one step took lately: shares and quantiles of recent durations, older ones forgotten by
-// and by. Buckets grow by a fixed ratio, so that memory does not grow with time or range. One
-// thread.
+// Shares and quantiles of the recent durations of one step, with exponentially decaying weights.
+// Bucket bounds grow by a fixed ratio, so memory grows neither with time nor with the range of
+// values. Not thread safe.
 #pragma once
 
 #include <array>
@@ -12,30 +12,30 @@
 
 class RecentDurations {
  public:
-  /// @param memory how many durations back half of the weight lies, 1 or more.
+  /// @param memory half-life of the weights, in number of durations; at least 1.
   explicit RecentDurations(double memory);
 
-  /// Negative ones count as zero.
+  /// Negative durations count as zero.
   void Record(Duration value);
 
-  /// How many durations are remembered, old ones less than new ones.
+  /// Sum of the decayed weights of all durations; a new duration has weight 1.
   double weight() const { return weight_; }
 
-  /// @return the share that took no longer than `limit`; within a bucket as if spread evenly.
-  /// Zero if none is remembered or the limit is negative.
+  /// @return the weighted share of durations that are at most `limit`, interpolated linearly within
+  /// a bucket. Zero if there are none or the limit is negative.
   double ShareWithin(Duration limit) const;
 
-  /// @param quantile 0 to 1. @return zero if none is remembered.
+  /// @param quantile 0 to 1. @return zero if there are no durations.
   Duration Quantile(double quantile) const;
 
  private:
-  /// Bounds grow by a quarter from 100 microseconds on, up to about 90 seconds.
+  /// Bounds grow by 25%, from 100 microseconds to about 90 seconds.
   static constexpr size_t kBuckets = 62;
 
   static Duration UpperBound(size_t bucket);
   static size_t BucketOf(Duration value);
 
-  double keep_;
+  double decay_;
   double weight_ = 0;
   std::array<double, kBuckets> weights_{};
 };
--- a/src/common/region_map.h
+++ b/src/common/region_map.h
@@ -1,4 +1,4 @@
-// Which region each zone lies in. Immutable once filled; safe on any thread then.
+// Maps zones to regions. Immutable once filled, and then safe on any thread.
 #pragma once
 
 #include <map>
@@ -10,11 +10,11 @@
 class RegionMap {
  public:
   RegionMap() = default;
-  /// @param region_of the region of each zone, by the zone's name.
+  /// @param region_of the region of each zone, by the name of the zone.
   explicit RegionMap(std::map<std::string, std::string> region_of)
       : region_of_(std::move(region_of)) {}
 
-  /// @return the region of a zone; empty: the zone is not known.
+  /// @return the region of a zone, or empty if the zone is unknown.
   std::string Of(const std::string& zone) const {
     const auto it = region_of_.find(zone);
     return it == region_of_.end() ? std::string() : it->second;
--- a/src/common/request_identity.cc
+++ b/src/common/request_identity.cc
@@ -14,7 +14,8 @@
 constexpr size_t kDigestBytes = 16;
 constexpr size_t kDigitsPerHalf = 16;
 
-/// Chooses the fastest code that the processor runs; the hash is the same without it.
+/// Lets the library select the fastest implementation for the processor. The hash does not depend
+/// on it.
 bool InitializeOnce() {
   static const bool initialized = ::sodium_init() >= 0;
   return initialized;
--- a/src/common/request_identity.h
+++ b/src/common/request_identity.h
@@ -1,6 +1,6 @@
-// Names a request by what it asks for and for whom, so that the same request is known again
-// whichever process takes it and however often it comes. Callers of different processes must not be
-// able to make two requests alike: the name is a cryptographic hash.
+// Identifies a request by its content and caller, so that every process recognizes a repeated
+// request. The identity is a cryptographic hash, so that callers cannot construct two requests with
+// the same identity.
 #pragma once
 
 #include <compare>
@@ -13,22 +13,22 @@
 
 namespace pumicedyke {
 
-/// 128 bits of a hash; plain data.
+/// The 128 bits of the hash; plain data.
 struct RequestIdentity {
   uint64_t high = 0;
   uint64_t low = 0;
   auto operator<=>(const RequestIdentity&) const = default;
-  /// False: nobody said what the request is.
+  /// False: the identity is not set.
   bool known() const { return high != 0 || low != 0; }
 };
 
-/// @param fields whatever tells one request from another, in an order of the caller's choosing;
-/// each counts by its length and bytes. Thread safe.
+/// Computes an identity. @param fields everything that distinguishes requests, in an order that the
+/// caller chooses; the length and the bytes of each field are hashed. Thread safe.
 RequestIdentity IdentityOf(const std::vector<std::string_view>& fields);
 
-/// 32 hexadecimal digits.
+/// Formats an identity as 32 hexadecimal digits.
 std::string ToText(const RequestIdentity& identity);
-/// Reads what ToText() wrote. @return nothing if it is no such text.
+/// Parses the format of ToText(). @return nullopt if `text` does not have it.
 std::optional<RequestIdentity> RequestIdentityFrom(std::string_view text);
 
 }  // namespace pumicedyke
--- a/src/common/result_code.h
+++ b/src/common/result_code.h
@@ -1,4 +1,4 @@
-// Numbered results told to callers and operators. The table in docs/RESULT_CODES.md lists each
+// Numbered results reported to callers and operators. The table in docs/RESULT_CODES.md lists each
 // one; a test compares the two.
 #pragma once
 
@@ -12,7 +12,7 @@
 enum class ResultCode : int {
   kOk = 0,
   kPartial = 1,
-  // Requests that callers must change.
+  // Requests that callers must correct.
   kMalformedRequest = 100,
   kUnknownService = 101,
   kBadDeadline = 102,
@@ -58,7 +58,7 @@
 struct ResultCodeInfo {
   ResultCode code;
   std::string_view name;
-  /// HTTP status that carries the code.
+  /// HTTP status of responses with this code.
   int http_status;
   std::string_view meaning;
 };
@@ -66,13 +66,13 @@
 /// Every code, in ascending order.
 const std::vector<ResultCodeInfo>& AllResultCodes();
 
-/// @return the row of `code`; the row of kInternal if the number is not listed.
+/// @return the entry of `code`, or that of kInternal if the number is not listed.
 const ResultCodeInfo& InfoOf(ResultCode code);
 
-/// A status that carries `code`; read it back with CodeOf().
+/// Makes a status that carries `code`, to be read with CodeOf().
 absl::Status MakeStatus(ResultCode code, std::string_view message);
 
-/// @return the code a status was made with; kOk for OK, kInternal if it carries none.
+/// @return the code that the status was made with; kOk for OK, kInternal if it carries none.
 ResultCode CodeOf(const absl::Status& status);
 
 }  // namespace pumicedyke
--- a/src/common/settings.h
+++ b/src/common/settings.h
@@ -1,5 +1,5 @@
-// Settings files in TOML, checked whole: every error is reported at once, with file, line, field
-// and what is allowed. A command line flag of the same name wins over the file.
+// Reads settings files in TOML. All errors of a file are reported together, each with file, line,
+// field and allowed values. A command line flag of the same name overrides the file.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +14,13 @@
 
 class Settings {
  public:
-  /// @param path empty: flags and defaults only.
+  /// @param path empty for flags and defaults only.
   explicit Settings(const std::string& path);
 
   std::string String(const std::string& field, const std::string& fallback);
-  /// A value that must be there.
+  /// A string that must be set. @param allowed describes the allowed values in the error.
   std::string Required(const std::string& field, const std::string& allowed);
-  /// IP number and port.
+  /// An IP address and port.
   std::string Address(const std::string& field, const std::string& fallback);
   int64_t Integer(const std::string& field, int64_t fallback, int64_t low, int64_t high);
   bool Boolean(const std::string& field, bool fallback);
@@ -28,10 +28,10 @@
   std::vector<std::string> List(const std::string& field);
   std::vector<std::string> AddressList(const std::string& field);
 
-  /// Reports what a caller found wrong with a value it read before.
+  /// Adds an error that the caller found in a value it has read.
   void AddError(const std::string& field, const std::string& allowed);
 
-  /// Also counts fields of the file that nobody asked for as errors.
+  /// Ends reading. Fields of the file that were never read count as errors.
   /// @return kInvalidConfig with one line per error.
   absl::Status Finish();
 
@@ -46,7 +46,7 @@
   std::vector<std::string> errors_;
 };
 
-/// Whether `text` is an IPv4 number and a port from 0 to 65535.
+/// Whether `text` is an IPv4 address and a port from 0 to 65535.
 bool IsAddress(const std::string& text);
 
 }  // namespace pumicedyke
--- a/src/common/types.h
+++ b/src/common/types.h
@@ -9,10 +9,10 @@
 
 namespace pumicedyke {
 
-/// Lengths of time; microseconds everywhere inside the system.
+/// A length of time. The system uses microseconds throughout.
 using Duration = std::chrono::microseconds;
 
-/// Tag of the one monotonic time line a process lives on, real or simulated.
+/// Tag of the monotonic clock of a process, real or simulated.
 struct MonotonicTimeline {
   using duration = Duration;
   using rep = Duration::rep;
@@ -26,7 +26,7 @@
 constexpr Duration Seconds(int64_t count) { return std::chrono::seconds(count); }
 constexpr double ToMilliseconds(Duration d) { return static_cast<double>(d.count()) / 1000.0; }
 
-/// A number that only compares with numbers of its own kind.
+/// An id that can be compared only with ids of the same kind.
 template <typename Tag>
 struct StrongId {
   uint64_t value = 0;
@@ -35,13 +35,14 @@
 
 using SnapshotId = StrongId<struct SnapshotIdTag>;
 using ShardId = StrongId<struct ShardIdTag>;
-/// Identifies one sub-request for ever: the process incarnation is part of it (see
+/// Identifies one sub-request. Never used again, as the process incarnation is part of it (see
 /// node/id_source.h).
 using SubRequestId = StrongId<struct SubRequestIdTag>;
 using RequestId = StrongId<struct RequestIdTag>;
 /// Counts accepted configuration changes; never decreases.
 using ConfigVersion = StrongId<struct ConfigVersionTag>;
-/// One incarnation of a control machine's disk; a lost disk comes back under another id.
+/// Identifies one incarnation of a control machine's disk. After the loss of its disk, a machine
+/// rejoins under a new id.
 using MemberId = uint64_t;
 
 }  // namespace pumicedyke
--- a/test/common/histogram_test.cc
+++ b/test/common/histogram_test.cc
@@ -11,7 +11,7 @@
 class HistogramTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HistogramTest);
   CPPUNIT_TEST(ValuesFallIntoTheirBuckets);
-  CPPUNIT_TEST(PageAddsTheBucketsUp);
+  CPPUNIT_TEST(PageShowsCumulativeBuckets);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -28,7 +28,7 @@
     CPPUNIT_ASSERT(histogram.sum == Seconds(60) + Milliseconds(2) + Microseconds(1));
   }
 
-  void PageAddsTheBucketsUp() {
+  void PageShowsCumulativeBuckets() {
     Histogram histogram;
     Record(&histogram, Milliseconds(1));
     Record(&histogram, Milliseconds(2));
--- a/test/common/recent_durations_test.cc
+++ b/test/common/recent_durations_test.cc
@@ -10,14 +10,14 @@
 
 class RecentDurationsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RecentDurationsTest);
-  CPPUNIT_TEST(NothingRememberedSaysNothing);
+  CPPUNIT_TEST(NoDurationsGiveZero);
   CPPUNIT_TEST(QuantilesLieWithinOneBucket);
-  CPPUNIT_TEST(ForgetsWhatWasLongAgo);
+  CPPUNIT_TEST(OldDurationsLoseWeight);
   CPPUNIT_TEST(SharesGrowWithTheLimit);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void NothingRememberedSaysNothing() {
+  void NoDurationsGiveZero() {
     const RecentDurations durations(32);
     CPPUNIT_ASSERT(durations.Quantile(0.5) == Duration(0));
     CPPUNIT_ASSERT_EQUAL(0.0, durations.ShareWithin(Seconds(1)));
@@ -37,7 +37,7 @@
     }
   }
 
-  void ForgetsWhatWasLongAgo() {
+  void OldDurationsLoseWeight() {
     RecentDurations durations(16);
     for (int i = 0; i < 200; ++i) {
       durations.Record(Milliseconds(50));
--- a/test/common/request_identity_test.cc
+++ b/test/common/request_identity_test.cc
@@ -1,4 +1,4 @@
-// What a request is named by: the same for the same fields, another one for any other.
+// Tests that equal fields give the same request identity, and different fields a different one.
 #include "common/request_identity.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -7,13 +7,13 @@
 
 class RequestIdentityTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RequestIdentityTest);
-  CPPUNIT_TEST(SameFieldsGiveTheSameName);
-  CPPUNIT_TEST(FieldsDoNotRunIntoEachOther);
+  CPPUNIT_TEST(SameFieldsGiveTheSameIdentity);
+  CPPUNIT_TEST(FieldBoundariesCount);
   CPPUNIT_TEST(TextReadsBack);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void SameFieldsGiveTheSameName() {
+  void SameFieldsGiveTheSameIdentity() {
     const RequestIdentity identity = IdentityOf({"GET", "/x"});
     CPPUNIT_ASSERT(identity.known());
     CPPUNIT_ASSERT(identity == IdentityOf({"GET", "/x"}));
@@ -21,7 +21,7 @@
     CPPUNIT_ASSERT(!RequestIdentity{}.known());
   }
 
-  void FieldsDoNotRunIntoEachOther() {
+  void FieldBoundariesCount() {
     CPPUNIT_ASSERT(IdentityOf({"ab", "c"}) != IdentityOf({"a", "bc"}));
     CPPUNIT_ASSERT(IdentityOf({"ab"}) != IdentityOf({"ab", ""}));
   }
--- a/test/common/result_code_test.cc
+++ b/test/common/result_code_test.cc
@@ -1,4 +1,4 @@
-// The table of result codes in the docs and the one in the code are the same.
+// Tests that the tables of result codes in the docs and in the code are the same.
 #include "common/result_code.h"
 
 #include <cppunit/extensions/HelperMacros.h>
--- a/test/common/settings_test.cc
+++ b/test/common/settings_test.cc
@@ -1,4 +1,4 @@
-// Settings files are checked whole.
+// Tests that all errors of a settings file are reported together.
 #include "common/settings.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -15,7 +15,7 @@
 namespace pumicedyke {
 namespace {
 
-/// A file in the build folder that is gone at the end.
+/// A file in the build folder that is removed by the destructor.
 class TemporaryFile {
  public:
   explicit TemporaryFile(const std::string& content)
@@ -34,7 +34,7 @@
 class SettingsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(SettingsTest);
   CPPUNIT_TEST(EveryErrorIsReportedAtOnce);
-  CPPUNIT_TEST(GoodFileIsRead);
+  CPPUNIT_TEST(ValidFileIsRead);
   CPPUNIT_TEST(AnyTextIsRefusedOrRead);
   CPPUNIT_TEST_SUITE_END();
 
@@ -60,7 +60,7 @@
     }
   }
 
-  void GoodFileIsRead() {
+  void ValidFileIsRead() {
     const TemporaryFile file("count = 3\nlist = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\n");
     Settings settings(file.path());
     CPPUNIT_ASSERT_EQUAL(int64_t{3}, settings.Integer("count", 1, 1, 10));
@@ -74,7 +74,7 @@
       const TemporaryFile file(text);
       Settings settings(file.path());
       settings.Integer("count", 1, 1, 10);
-      // Whatever the text, only a status comes back; an empty file is fine.
+      // Any text gives a status; an empty file is valid.
       const absl::Status status = settings.Finish();
       RC_ASSERT(status.ok() || !status.message().empty());
     });
