--- a/src/net/byte_stream.cc
+++ b/src/net/byte_stream.cc
@@ -15,12 +15,13 @@
 namespace {
 
 constexpr size_t kReadBytes = 16 * 1024;
-/// Reads of one turn of the loop, so that a fast peer does not starve the others.
-constexpr int kReadsPerTurn = 4;
-/// Unacknowledged bytes end a connection after this: a peer behind a cut says nothing.
+/// Maximum reads per loop iteration, so that a fast peer does not starve the others.
+constexpr int kReadsPerIteration = 4;
+/// Bytes that stay unacknowledged for this long end a connection: a partitioned peer does not close
+/// it.
 constexpr unsigned kUserTimeoutMilliseconds = 4000;
 
-void Prepare(ACE_HANDLE handle) {
+void ConfigureSocket(ACE_HANDLE handle) {
   const int flags = ::fcntl(handle, F_GETFL);
   ::fcntl(handle, F_SETFL, flags | O_NONBLOCK);
   const int on = 1;
@@ -35,7 +36,7 @@
 
 ByteStream::ByteStream(EventLoop* loop, ACE_HANDLE handle, Callbacks callbacks)
     : loop_(loop), handle_(handle), callbacks_(std::move(callbacks)), was_connected_(true) {
-  Prepare(handle_);
+  ConfigureSocket(handle_);
   Register(ACE_Event_Handler::READ_MASK);
 }
 
@@ -43,7 +44,7 @@
     : loop_(loop), callbacks_(std::move(callbacks)) {
   handle_ = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   if (handle_ != ACE_INVALID_HANDLE) {
-    Prepare(handle_);
+    ConfigureSocket(handle_);
     const ACE_INET_Addr remote(address.c_str());
     const int result =
         ::connect(handle_, static_cast<sockaddr*>(remote.get_addr()), sizeof(sockaddr_in));
@@ -55,7 +56,7 @@
       return;
     }
   }
-  // The owner must not be called back before it holds this object.
+  // The owner must not be called back before this constructor has returned.
   loop_->Defer([end = callbacks_.on_end] { end(StreamEnd::kBroken); });
   callbacks_ = {};
   Close();
@@ -130,7 +131,8 @@
     if (WouldBlock()) {
       break;
     }
-    // What the peer sent before it went away may still be there to read; the read ends the stream.
+    // Bytes that the peer sent before it disconnected may still be unread. The read ends the
+    // stream.
     output_.clear();
     WantWrites(false);
     return;
@@ -182,7 +184,7 @@
     return handle_output(handle_);
   }
   std::array<char, kReadBytes> buffer;
-  for (int reads = 0; reads < kReadsPerTurn && open(); ++reads) {
+  for (int reads = 0; reads < kReadsPerIteration && open(); ++reads) {
     const ssize_t received = ::recv(handle_, buffer.data(), buffer.size(), 0);
     if (received < 0 && WouldBlock()) {
       return 0;
--- a/src/net/byte_stream.h
+++ b/src/net/byte_stream.h
@@ -1,5 +1,5 @@
-// One non-blocking TCP connection on the event loop: bytes in, bytes out, and how it ended.
-// All calls and callbacks happen on the event loop's thread.
+// A non-blocking TCP connection on the event loop. All calls and callbacks are made on the event
+// loop's thread.
 #pragma once
 
 #include <ace/Event_Handler.h>
@@ -14,48 +14,50 @@
 
 namespace pumicedyke::net {
 
-/// How a connection ended, from this side's view.
+/// How a connection ended, as seen from this side.
 enum class StreamEnd {
-  /// The peer closed in order: everything it sent has been read.
+  /// Orderly close by the peer: everything it sent has been read.
   kClosed,
-  /// Reset, timed out or never made: bytes may be missing.
+  /// Reset, timed out or never established: bytes may be missing.
   kBroken,
 };
 
 class ByteStream : public ACE_Event_Handler {
  public:
   struct Callbacks {
-    /// Bytes came; the receiver removes from the front what it has used.
+    /// Called when bytes have arrived. The callee removes the bytes it has used from the front.
     std::function<void(std::string* input)> on_bytes;
-    /// Comes once at most, and last. The owner may delete the stream a loop turn later.
+    /// Called at most once, as the last callback. The owner may delete the stream from the next
+    /// loop iteration on.
     std::function<void(StreamEnd end)> on_end;
-    /// Everything written so far is with the operating system.
+    /// Called when everything written so far has been passed to the operating system.
     std::function<void()> on_drained;
-    /// The connection that this side began is made.
+    /// Called when a connection initiated by this side is established.
     std::function<void()> on_connected = {};
   };
 
-  /// @param handle an accepted socket; owned from now on.
+  /// @param handle an accepted socket. Takes ownership.
   ByteStream(EventLoop* loop, ACE_HANDLE handle, Callbacks callbacks);
-  /// @param address IP number and port to connect to; failure comes by on_end.
+  /// @param address IP address and port to connect to. A failure is reported by on_end.
   ByteStream(EventLoop* loop, const std::string& address, Callbacks callbacks);
   ~ByteStream() override;
   ByteStream(const ByteStream&) = delete;
   ByteStream& operator=(const ByteStream&) = delete;
 
-  /// May be called before the connection is made.
+  /// Writes bytes. May be called before the connection is established.
   void Write(std::string_view bytes);
-  /// No callback comes after this. Unwritten bytes are lost.
+  /// Closes the connection. Unwritten bytes are lost, and no callback follows.
   void Close();
-  /// Closes as soon as everything is written.
+  /// Closes the connection as soon as everything is written.
   void CloseWhenDrained();
 
   bool open() const { return handle_ != ACE_INVALID_HANDLE; }
   bool connected() const { return open() && !connecting_; }
-  /// False: not one byte can have reached the peer.
+  /// Whether the connection was ever established. If not, no byte can have reached the peer.
   bool was_connected() const { return was_connected_; }
   size_t unwritten() const { return output_.size(); }
-  /// As the operating system has measured it. One system call. @return zero: not known.
+  /// Returns the round-trip time measured by the operating system, or zero if not known. Makes one
+  /// system call.
   Duration RoundTrip() const;
 
   int handle_input(ACE_HANDLE handle) override;
--- a/src/net/event_loop.cc
+++ b/src/net/event_loop.cc
@@ -16,19 +16,19 @@
 namespace pumicedyke::net {
 namespace {
 
-/// Handles that a process asks to be allowed.
+/// Requested limit on open file descriptors.
 constexpr rlim_t kMaxHandles = 16384;
-constexpr Duration kLongestSleep = Milliseconds(200);
-/// A wait shorter than this found something ready at once.
-constexpr Duration kShortestSleep = Microseconds(100);
+constexpr Duration kMaxSleep = Milliseconds(200);
+/// A shorter wait counts as no wait: something was ready at once.
+constexpr Duration kMinSleep = Microseconds(100);
 
-/// Bit n: signal n came.
+/// Bit n: signal n was received.
 std::atomic<uint64_t> pending_signals{0};
-/// Written to by the signal handler; -1 while no loop asks for signals.
+/// Event descriptor that the signal handler writes to; -1 while no loop handles signals.
 std::atomic<int> signal_wake_handle{-1};
 
-/// Runs in the signal handler itself: no locks, no memory.
-void NoteSignal(int signal_number) {
+/// The signal handler. Must not lock or allocate.
+void RecordSignal(int signal_number) {
   pending_signals.fetch_or(uint64_t{1} << static_cast<unsigned>(signal_number));
   const int handle = signal_wake_handle.load();
   if (handle >= 0) {
@@ -49,17 +49,17 @@
 }  // namespace
 
 EventLoop::EventLoop()
-    : poller_([this] { NoteArrival(); }), wake_handle_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
-  wait_ended_ = Now();
+    : poller_([this] { RecordArrival(); }), wake_handle_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
+  wait_end_ = Now();
   RaiseHandleLimit();
   poller_.Watch(this, ACE_Event_Handler::READ_MASK);
   std::signal(SIGPIPE, SIG_IGN);
-  // A file that may not grow shows as a failed write.
+  // Exceeding the file size limit then makes the write fail instead of killing the process.
   std::signal(SIGXFSZ, SIG_IGN);
 }
 
 EventLoop::~EventLoop() {
-  // What tasks that never ran hold may still cancel timers and remove handlers.
+  // Destroying tasks that never ran may cancel timers and remove handlers, so it is done first.
   while (!deferred_.empty()) {
     const std::vector<Task> dropped = std::exchange(deferred_, {});
   }
@@ -152,7 +152,7 @@
   signal_tasks_[signal_number] = std::move(task);
   signal_wake_handle = wake_handle_;
   struct sigaction action {};
-  action.sa_handler = NoteSignal;
+  action.sa_handler = RecordSignal;
   action.sa_flags = SA_RESTART;
   ::sigaction(signal_number, &action, nullptr);
 }
@@ -169,29 +169,29 @@
   }
 }
 
-void EventLoop::NoteArrival() {
+void EventLoop::RecordArrival() {
   const Timestamp now = Now();
-  const bool slept = now - wait_began_ >= kShortestSleep;
-  earliest_arrival_ = slept ? now : wait_ended_;
-  wait_ended_ = now;
+  const bool slept = now - wait_start_ >= kMinSleep;
+  earliest_arrival_ = slept ? now : wait_end_;
+  wait_end_ = now;
 }
 
 void EventLoop::Run(const std::function<Timestamp(Timestamp now)>& tick) {
   while (!stopped_) {
     const Timestamp before = Now();
     RunTimers(before);
-    Timestamp wake = std::min(tick(before), before + kLongestSleep);
+    Timestamp wake = std::min(tick(before), before + kMaxSleep);
     if (!timers_.empty()) {
       wake = std::min(wake, timers_.begin()->first.first);
     }
     FlushLog();
     if (stopped_) {
-      // Whoever stops has found nothing under way: what is read after that would be lost.
+      // The owner stops when no request is in progress. A request read after that would be lost.
       break;
     }
-    wait_began_ = Now();
+    wait_start_ = Now();
     const Duration sleep =
-        deferred_.empty() ? std::max(Duration(0), wake - wait_began_) : Duration(0);
+        deferred_.empty() ? std::max(Duration(0), wake - wait_start_) : Duration(0);
     poller_.Poll(sleep);
     RunPosted();
     RunDeferred();
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -1,4 +1,5 @@
-// The one thread of a process that runs decision code: sockets, timers, signals and tasks.
+// The event loop of a process: sockets, timers, signals and tasks on the one thread that runs
+// decision code.
 #pragma once
 
 #include <ace/Event_Handler.h>
@@ -20,7 +21,7 @@
 class EventLoop : public ACE_Event_Handler {
  public:
   using Task = std::function<void()>;
-  /// Names a timer; zero is none.
+  /// Identifies a timer; zero means none.
   using TimerId = uint64_t;
 
   EventLoop();
@@ -28,39 +29,41 @@
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  /// Monotonic time. Goes on while the process is stopped by a signal, and, unlike the steady
-  /// clock, while the machine is suspended: leases and deadlines of others don't wait for it.
+  /// Monotonic time. Advances while the process is stopped by a signal and, unlike the steady
+  /// clock, while the machine is suspended, because the leases and deadlines of other processes
+  /// advance, too.
   static Timestamp Now();
-  /// Milliseconds since the epoch.
+  /// Wall clock in milliseconds since the epoch.
   static int64_t WallMilliseconds();
 
-  /// Where sockets are watched.
+  /// The poller that watches the loop's sockets.
   Poller* poller() { return &poller_; }
 
-  /// The earliest time at which what is being read now may have arrived: when the loop last looked,
-  /// unless it slept since.
+  /// The earliest time at which the input that is being read may have arrived: the last poll, or
+  /// the end of the wait if the loop has waited since.
   Timestamp earliest_arrival() const { return earliest_arrival_; }
 
-  /// Runs `task` on the loop's thread, soon. May be called from any thread.
+  /// Runs `task` on the loop's thread as soon as possible. May be called from any thread.
   void Post(Task task);
-  /// Like Post(), for the loop's own thread only: wakes nobody.
+  /// Like Post(), but only for the loop's own thread: does not wake the loop.
   void Defer(Task task) { deferred_.push_back(std::move(task)); }
-  /// Runs `task` on the loop's thread at `when` or a little later. Loop's thread only.
+  /// Runs `task` on the loop's thread at `when` or shortly after. Loop's thread only.
   TimerId RunAt(Timestamp when, Task task);
-  /// Does nothing if the timer has run or was never set.
+  /// Has no effect if the timer has run or was never set.
   void CancelTimer(TimerId id);
-  /// Runs `task` on the loop's thread when the process gets the signal.
+  /// Runs `task` on the loop's thread when the process receives the signal.
   void OnSignal(int signal_number, Task task);
 
-  /// Runs until Stop(). @param tick called after every batch of events; returns when it wants to
-  /// be called again at the latest.
+  /// Runs until Stop(). @param tick called after every batch of events; returns the latest time of
+  /// its next call.
   void Run(const std::function<Timestamp(Timestamp now)>& tick);
-  /// Ends Run() without another event if called by tick(), else at the end of the turn.
+  /// Ends Run() without handling another event if called by tick(), otherwise at the end of the
+  /// iteration.
   void Stop() { stopped_ = true; }
-  /// Lets Run() be called again after Stop().
+  /// Allows another Run() after Stop().
   void Resume() { stopped_ = false; }
 
-  /// Something was posted or a signal came.
+  /// Called when a task was posted or a signal received.
   int handle_input(ACE_HANDLE handle) override;
   ACE_HANDLE get_handle() const override { return wake_handle_; }
 
@@ -69,22 +72,22 @@
   void RunDeferred();
   void RunTimers(Timestamp now);
   void RunSignalTasks();
-  /// Ends a wait; may be called from any thread.
+  /// Ends the current wait. May be called from any thread.
   void Wake() const;
 
-  void NoteArrival();
+  void RecordArrival();
 
   Poller poller_;
-  /// When the loop last began and ended to wait for sockets.
-  Timestamp wait_began_{};
-  Timestamp wait_ended_{};
+  /// Start and end of the last wait for sockets.
+  Timestamp wait_start_{};
+  Timestamp wait_end_{};
   /// An eventfd.
   ACE_HANDLE wake_handle_;
   Timestamp earliest_arrival_{};
   std::mutex mutex_;
   std::deque<Task> posted_;
   std::vector<Task> deferred_;
-  /// By due time, then by number.
+  /// Ordered by due time, then by id.
   std::map<std::pair<Timestamp, TimerId>, Task> timers_;
   std::map<TimerId, Timestamp> timer_due_;
   TimerId next_timer_ = 1;
--- a/src/net/frame_socket.cc
+++ b/src/net/frame_socket.cc
@@ -17,21 +17,22 @@
 
 constexpr uint32_t kMagic = 0x504d4b31;  // "PMK1"
 constexpr Duration kReconnectInterval = Milliseconds(100);
-/// A machine that is just coming up has dropped the opening packet; TCP itself repeats it after a
-/// second. Tries take turns of growing patience, the longest for far peers.
-constexpr Duration kShortestConnectTimeout = Milliseconds(60);
+/// A machine that is starting may have dropped the SYN packet, which TCP retransmits only after a
+/// second. Connection attempts therefore use short timeouts: this one, doubled with each attempt
+/// to allow for distant peers, and starting over after kConnectTimeouts attempts.
+constexpr Duration kMinConnectTimeout = Milliseconds(60);
 constexpr int kConnectTimeouts = 3;
 constexpr size_t kReadBytes = 64 * 1024;
-/// Messages kept for a connection that is being made.
-constexpr size_t kMaxWaiting = 16;
+/// Maximum messages queued until the connection is established.
+constexpr size_t kMaxQueuedMessages = 16;
 
 struct FrameHeader {
   uint32_t magic;
   uint32_t length;
 };
 
-/// Unacknowledged bytes end a connection after this, so that a fresh one is there soon after a cut
-/// heals: TCP's own repeats grow seconds apart.
+/// Bytes that stay unacknowledged for this long end a connection, so that a new one is established
+/// soon after a partition heals. TCP's own retransmissions would be seconds apart by then.
 constexpr unsigned kUserTimeoutMilliseconds = 1500;
 
 void SetOptions(ACE_SOCK_Stream* stream) {
@@ -82,7 +83,7 @@
     return;
   }
   Close();
-  // The owner deletes this object in the callback, so it must not run inside a method of it.
+  // The owner deletes this object in the callback, so the callback must not run inside a method.
   loop_->Post(on_closed_);
 }
 
@@ -259,7 +260,7 @@
   }
 }
 
-void FrameClient::Lost() {
+void FrameClient::OnConnectionLost() {
   const bool was_up = socket_ != nullptr;
   socket_.reset();
   retry_at_ = EventLoop::Now() + kReconnectInterval;
@@ -270,13 +271,13 @@
 
 void FrameClient::StartConnecting() {
   const Timestamp now = EventLoop::Now();
-  const Duration patience = kShortestConnectTimeout * (1 << tries_ % kConnectTimeouts);
-  if (is_connecting_ && now - started_ > patience) {
-    ++tries_;
+  const Duration timeout = kMinConnectTimeout * (1 << timed_out_attempts_ % kConnectTimeouts);
+  if (is_connecting_ && now - started_ > timeout) {
+    ++timed_out_attempts_;
     loop_->poller()->Remove(this);
     connecting_.close();
     is_connecting_ = false;
-    waiting_.clear();
+    queue_.clear();
   }
   if (is_connecting_ || now < retry_at_) {
     return;
@@ -312,18 +313,19 @@
   ::getsockopt(connecting_.get_handle(), SOL_SOCKET, SO_ERROR, &error, &length);
   if (error != 0) {
     connecting_.close();
-    waiting_.clear();
+    queue_.clear();
     return 0;
   }
   ACE_SOCK_Stream stream;
   stream.set_handle(connecting_.get_handle());
   connecting_.set_handle(ACE_INVALID_HANDLE);
-  tries_ = 0;
-  socket_ = std::make_unique<FrameSocket>(loop_, stream, on_message_, [this] { Lost(); });
+  timed_out_attempts_ = 0;
+  socket_ =
+      std::make_unique<FrameSocket>(loop_, stream, on_message_, [this] { OnConnectionLost(); });
   if (!socket_->Start()) {
     socket_.reset();
   }
-  for (const wire::Envelope& envelope : std::exchange(waiting_, {})) {
+  for (const wire::Envelope& envelope : std::exchange(queue_, {})) {
     if (socket_ != nullptr) {
       socket_->Send(envelope);
     }
@@ -337,8 +339,8 @@
   }
   if (socket_ != nullptr) {
     socket_->Send(envelope);
-  } else if (is_connecting_ && waiting_.size() < kMaxWaiting) {
-    waiting_.push_back(envelope);
+  } else if (is_connecting_ && queue_.size() < kMaxQueuedMessages) {
+    queue_.push_back(envelope);
   }
 }
 
--- a/src/net/frame_socket.h
+++ b/src/net/frame_socket.h
@@ -1,5 +1,5 @@
-// Length-prefixed frames over one TCP connection, and a server and a client of them.
-// All calls and callbacks happen on the event loop's thread.
+// Length-prefixed frames over a TCP connection, with a server and a client. All calls and callbacks
+// are made on the event loop's thread.
 #pragma once
 
 #include <ace/Event_Handler.h>
@@ -22,12 +22,12 @@
 
 namespace pumicedyke::net {
 
-/// Longest frame that is accepted; a longer or malformed one closes the connection.
+/// Maximum size of an accepted frame. A longer or malformed frame closes the connection.
 constexpr size_t kMaxFrameBytes = 64U << 20;
-/// Bytes waiting to be written beyond which a peer counts as stuck and is cut off.
+/// Maximum bytes waiting to be written. Beyond it the peer counts as stuck and is disconnected.
 constexpr size_t kMaxBacklogBytes = 128U << 20;
 
-/// An envelope as it goes over a connection.
+/// Encodes an envelope as a frame.
 std::string EncodeFrame(const wire::Envelope& envelope);
 
 class FrameSocket : public ACE_Event_Handler {
@@ -43,9 +43,9 @@
 
   bool Start();
   void Send(const wire::Envelope& envelope);
-  /// The same with a frame by EncodeFrame().
+  /// Sends a frame made by EncodeFrame().
   void SendFrame(std::string_view frame);
-  /// No callback comes after this.
+  /// Closes the connection. No callback follows.
   void Close();
 
   int handle_input(ACE_HANDLE handle) override;
@@ -67,7 +67,7 @@
   bool writing_ = false;
 };
 
-/// Accepts connections and numbers them.
+/// Accepts connections. Each gets a session number.
 class FrameServer : public ACE_Event_Handler {
  public:
   using SessionCb = std::function<void(uint64_t session, wire::Envelope envelope)>;
@@ -78,11 +78,11 @@
   FrameServer(const FrameServer&) = delete;
   FrameServer& operator=(const FrameServer&) = delete;
 
-  /// @param address IP number and port; port 0 takes one from the OS.
+  /// @param address IP address and port. Port 0: the operating system chooses one.
   absl::Status Listen(const std::string& address);
   uint16_t port() const { return port_; }
   void Send(uint64_t session, const wire::Envelope& envelope);
-  /// Sends the same on several connections.
+  /// Sends one message to several sessions.
   void SendToAll(const std::vector<uint64_t>& sessions, const wire::Envelope& envelope);
   void CloseSession(uint64_t session);
 
@@ -99,8 +99,8 @@
   std::map<uint64_t, std::unique_ptr<FrameSocket>> sessions_;
 };
 
-/// A connection to one address that is made anew when it breaks. The first few messages sent while
-/// it is being made wait for it; others are dropped: every protocol above repeats what matters.
+/// A connection to one address that reconnects when it breaks. A few messages are queued until the
+/// connection is established; further ones are dropped, as the protocols above repeat what matters.
 class FrameClient : public ACE_Event_Handler {
  public:
   FrameClient(EventLoop* loop, std::string address, FrameSocket::MessageCb on_message,
@@ -118,17 +118,17 @@
  private:
   void StartConnecting();
   int FinishConnecting();
-  void Lost();
+  void OnConnectionLost();
 
   EventLoop* loop_;
   std::string address_;
   FrameSocket::MessageCb on_message_;
   FrameSocket::ClosedCb on_closed_;
   ACE_SOCK_Stream connecting_;
-  std::vector<wire::Envelope> waiting_;
+  std::vector<wire::Envelope> queue_;
   bool is_connecting_ = false;
-  /// Connections in a row that did not come up in time.
-  int tries_ = 0;
+  /// Number of consecutive connection attempts that timed out.
+  int timed_out_attempts_ = 0;
   Timestamp started_{};
   Timestamp retry_at_{};
   std::unique_ptr<FrameSocket> socket_;
--- a/src/net/poller.cc
+++ b/src/net/poller.cc
@@ -32,7 +32,7 @@
   ACE_Event_Handler* handler = nullptr;
   Poller* poller = nullptr;
 
-  /// Called by libevent. Output comes first: it may be what finishes a connect.
+  /// Called by libevent. Handles output first, as it may complete a connect.
   static void OnReady(evutil_socket_t handle, short events, void* argument) {
     auto* self = static_cast<Watched*>(argument);
     Poller* poller = self->poller;
@@ -91,16 +91,16 @@
   }
 }
 
-void Poller::Poll(Duration longest_wait) {
+void Poller::Poll(Duration max_wait) {
   waiting_ = true;
-  if (longest_wait.count() <= 0) {
-    // Once: without that it goes on for as long as events come, and whatever waits for the end of
-    // this turn waits as long.
+  if (max_wait.count() <= 0) {
+    // Without EVLOOP_ONCE the call would not return while events keep arriving, which would delay
+    // everything that runs at the end of the loop iteration.
     event_base_loop(base_, EVLOOP_NONBLOCK | EVLOOP_ONCE);
     return;
   }
-  const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(longest_wait);
-  const timeval timeout{seconds.count(), (longest_wait - seconds).count()};
+  const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(max_wait);
+  const timeval timeout{seconds.count(), (max_wait - seconds).count()};
   evtimer_add(&timer_->event, &timeout);
   event_base_loop(base_, EVLOOP_ONCE);
 }
--- a/test/net/event_loop_test.cc
+++ b/test/net/event_loop_test.cc
@@ -1,4 +1,4 @@
-// The order of a turn: what the owner decides in its tick is not overtaken by events.
+// Tests the order within a loop iteration: events do not overtake the owner's decision in tick().
 #include "net/event_loop.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -12,7 +12,7 @@
 namespace pumicedyke::net {
 namespace {
 
-/// Readable from the start.
+/// A handler whose descriptor is readable from the start.
 class ReadyHandler : public ACE_Event_Handler {
  public:
   explicit ReadyHandler(EventLoop* loop) : loop_(loop), handle_(::eventfd(1, EFD_NONBLOCK)) {
@@ -44,16 +44,16 @@
 class EventLoopTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(EventLoopTest);
   CPPUNIT_TEST(NothingIsReadOnceTheOwnerHasStopped);
-  CPPUNIT_TEST(EarliestArrivalIsTheLastLook);
-  CPPUNIT_TEST(PostFromAnotherTurnAndSignalWake);
+  CPPUNIT_TEST(EarliestArrivalIsTheLastPoll);
+  CPPUNIT_TEST(PostAndSignalWakeTheLoop);
   CPPUNIT_TEST(HandlerMayRemoveAnother);
-  CPPUNIT_TEST(TasksThatNeverRanMayUseTheLoopAtItsEnd);
+  CPPUNIT_TEST(UnrunTasksMayUseTheLoopInItsDestructor);
   CPPUNIT_TEST(SuspendedTimeCounts);
   CPPUNIT_TEST(TimersOfASuspendedMachineAreOverdue);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  /// A process that has found nothing under way and ends must not take one more request.
+  /// A process that stops because no request is in progress must not read another request.
   void NothingIsReadOnceTheOwnerHasStopped() {
     EventLoop loop;
     ReadyHandler handler(&loop);
@@ -72,7 +72,7 @@
     CPPUNIT_ASSERT_EQUAL(1, handler.reads);
   }
 
-  void EarliestArrivalIsTheLastLook() {
+  void EarliestArrivalIsTheLastPoll() {
     EventLoop loop;
     ReadyHandler handler(&loop);
     const Timestamp before = EventLoop::Now();
@@ -82,12 +82,12 @@
       }
       return now + Milliseconds(20);
     });
-    // It was there when the loop first looked, so it may have come at any time before.
+    // The input was present at the first poll, so it may have arrived at any time before.
     CPPUNIT_ASSERT(handler.arrival <= before);
     CPPUNIT_ASSERT(handler.arrival > Timestamp{});
   }
 
-  void PostFromAnotherTurnAndSignalWake() {
+  void PostAndSignalWakeTheLoop() {
     EventLoop loop;
     int signals = 0;
     loop.OnSignal(SIGUSR1, [&] {
@@ -99,8 +99,9 @@
     CPPUNIT_ASSERT_EQUAL(1, signals);
   }
 
-  /// Run under the address sanitizer or not: the timer's own memory must still be there.
-  void TasksThatNeverRanMayUseTheLoopAtItsEnd() {
+  /// Destroying the loop's remaining tasks may cancel timers: the timers must still exist then,
+  /// also without the address sanitizer.
+  void UnrunTasksMayUseTheLoopInItsDestructor() {
     struct Owner {
       EventLoop* loop;
       EventLoop::TimerId timer;
@@ -137,7 +138,7 @@
     CPPUNIT_ASSERT_EQUAL(1, first.reads);
   }
 
-  /// Leases, ages and deadlines go on while the machine sleeps: others don't sleep with it.
+  /// Leases, ages and deadlines advance while the machine is suspended, as other machines run on.
   void SuspendedTimeCounts() {
     const Timestamp before = EventLoop::Now();
     const SuspendedFor suspended(Seconds(30));
--- a/test/net/frame_client_test.cc
+++ b/test/net/frame_client_test.cc
@@ -1,4 +1,4 @@
-// What becomes of a message that is sent while its connection is being made.
+// Tests that messages sent while the connection is being established arrive.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <vector>
@@ -14,7 +14,7 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  /// A vote that is asked for once, as the first word on a connection, must arrive.
+  /// A vote request is sent only once, so it must arrive even as the first message of a connection.
   void FirstMessagesWaitForTheConnection() {
     EventLoop loop;
     std::vector<std::string> received;
@@ -32,9 +32,9 @@
         &loop, "127.0.0.1:" + std::to_string(server.port()), [](const wire::Envelope&) {}, [] {});
     client.Send({"test", 0, wire::JoinRequest{1, "first", ""}});
     client.Send({"test", 0, wire::JoinRequest{2, "second", ""}});
-    const Timestamp patience = EventLoop::Now() + Seconds(20);
+    const Timestamp deadline = EventLoop::Now() + Seconds(20);
     loop.Run([&](Timestamp now) {
-      if (now >= patience) {
+      if (now >= deadline) {
         loop.Stop();
       }
       return now + Milliseconds(10);
--- a/test/net/suspended_clock.cc
+++ b/test/net/suspended_clock.cc
@@ -21,7 +21,7 @@
 
 }  // namespace pumicedyke::net
 
-/// Takes the place of the C library's in this program.
+/// Replaces the C library's function in this program.
 extern "C" int clock_gettime(clockid_t clock, timespec* time) noexcept {
   const int result = static_cast<int>(::syscall(SYS_clock_gettime, clock, time));
   const bool counts = clock == CLOCK_BOOTTIME || clock == CLOCK_REALTIME;
--- a/test/net/suspended_clock.h
+++ b/test/net/suspended_clock.h
@@ -1,13 +1,13 @@
-// A machine that was suspended, for tests: the program's own clock_gettime() stands in for the
-// system's, and adds what passed meanwhile to the clocks that count it.
+// Simulates a suspended machine in tests: the test program's own clock_gettime() replaces the
+// system's and adds the time of the suspension to the clocks that count it.
 #pragma once
 
 #include "common/types.h"
 
 namespace pumicedyke::net {
 
-/// While one lives, the machine has been suspended for `time`: the time of day and CLOCK_BOOTTIME
-/// are ahead by it, the steady clock is not. One at a time.
+/// While an instance exists, the machine appears to have been suspended for `time`: the time of day
+/// and CLOCK_BOOTTIME are ahead by it, the steady clock is not. Only one instance may exist.
 class SuspendedFor {
  public:
   explicit SuspendedFor(Duration time);
