--- a/src/http/bearer_key.h
+++ b/src/http/bearer_key.h
@@ -1,4 +1,4 @@
-// The API key of a request (RFC 6750): "Authorization: Bearer KEY". Safe on any thread.
+// Reads the API key of a request (RFC 6750): "Authorization: Bearer KEY". Safe on any thread.
 #pragma once
 
 #include <string>
@@ -7,7 +7,8 @@
 
 namespace pumicedyke::http {
 
-/// @return empty: the client sent no key, another scheme, or more than one such header.
+/// @return the key, or empty if the client sent no key, another scheme, or more than one
+/// Authorization header.
 std::string BearerKey(const Headers& headers);
 
 }  // namespace pumicedyke::http
--- a/src/http/http_client.cc
+++ b/src/http/http_client.cc
@@ -11,7 +11,8 @@
 namespace pumicedyke::http {
 namespace {
 
-/// Closed this much before the peer's own idle limit, so that no request crosses its close.
+/// An idle connection is closed this long before the peer's idle limit, so that no request is sent
+/// while the peer closes it.
 constexpr Duration kIdleMargin = Milliseconds(700);
 
 /// @return the peer's idle limit from "Keep-Alive: timeout=N", or zero.
@@ -55,12 +56,12 @@
   return EncodeHead(MethodOf(request), request.path, headers);
 }
 
-/// @param spent time since the request was asked for.
-std::string Encode(const ClientRequest& request, Duration spent) {
+/// @param spent time since the call was started.
+std::string Encode(const ClientRequest& request, Duration elapsed) {
   std::string text = request.shared_head != nullptr ? *request.shared_head : EncodeOwnHead(request);
   AppendHeaders(request.headers, &text);
   if (!request.budget_header.empty()) {
-    const auto left = static_cast<int64_t>(ToMilliseconds(request.budget - spent));
+    const auto left = static_cast<int64_t>(ToMilliseconds(request.budget - elapsed));
     AppendHeader(request.budget_header, std::to_string(std::max<int64_t>(1, left)), &text);
   }
   if (request.method.empty() && !request.body.empty()) {
@@ -99,7 +100,7 @@
   std::deque<std::shared_ptr<Call>> waiting;
 };
 
-/// One connection to a peer: one exchange at a time.
+/// A connection to a peer, with one exchange at a time.
 class HttpClient::Connection {
  public:
   Connection(HttpClient* client, Host* host)
@@ -114,7 +115,7 @@
     connect_timer_ = client_->loop_->RunAt(
         net::EventLoop::Now() + client_->options_.connect_timeout, [this] { OnConnectTimeout(); });
   }
-  /// The loop may hold this object for longer than the client lives.
+  /// The loop may keep this object after the client is destroyed.
   ~Connection() {
     loop_->CancelTimer(connect_timer_);
     loop_->CancelTimer(idle_timer_);
@@ -136,12 +137,12 @@
   }
   bool idle() const { return call_ == nullptr && stream_.open(); }
   bool used() const { return served_ > 0; }
-  /// The stream hands bytes to the system only once it is connected.
+  /// The stream passes bytes to the operating system only once it is connected.
   bool was_connected() const { return stream_.was_connected(); }
   Host* host() const { return host_; }
 
  private:
-  /// Not before the connection is made: what is left of the budget is told as of now.
+  /// Called only once the connection is established, as the request states the budget left then.
   void WriteRequest() {
     if (call_ == nullptr) {
       return;
@@ -165,14 +166,14 @@
 
   void OnBytes(std::string* input) {
     if (call_ == nullptr) {
-      // Nobody asked: bytes on an idle connection belong to no request.
+      // Bytes on an idle connection belong to no request.
       Close();
       return;
     }
     while (call_ != nullptr && !input->empty()) {
       const ParseState state = parser_->Consume(input);
       if (state == ParseState::kFailed) {
-        Fail("the response cannot be read");
+        Fail("the response is not valid HTTP");
         return;
       }
       if (state != ParseState::kComplete) {
@@ -192,9 +193,9 @@
     const std::string* echo = request.echoed_header.empty()
                                   ? nullptr
                                   : FindHeader(message.headers, request.echoed_header);
-    const bool foreign = echo != nullptr && *echo != request.expected_echo;
-    if (foreign) {
-      // A surplus answer to an earlier request; ours is still to come.
+    const bool stale = echo != nullptr && *echo != request.expected_echo;
+    if (stale) {
+      // A surplus response to an earlier request. The response to this one is still to come.
       return;
     }
     ClientResponse response;
@@ -222,10 +223,10 @@
     client_->Finish(call, std::move(response));
   }
 
-  /// @param kept connections of the address that stay.
-  void ArmIdleTimer(size_t kept) {
-    Duration limit = host_->connections.size() > kept ? client_->options_.surplus_idle_limit
-                                                      : client_->options_.idle_limit;
+  /// @param kept number of connections to the address that are not surplus.
+  void ArmIdleTimer(size_t retained) {
+    Duration limit = host_->connections.size() > retained ? client_->options_.surplus_idle_limit
+                                                          : client_->options_.idle_limit;
     if (idle_limit_.count() > 0) {
       limit = std::min(limit, idle_limit_);
     }
@@ -249,7 +250,7 @@
     }
     const bool answered = parser_ != nullptr && parser_->state() != ParseState::kEmpty;
     Fail(end == net::StreamEnd::kClosed ? "the connection was closed before the response"
-                                        : "the connection broke",
+                                        : "the connection was reset or not established",
          /*lost=*/was_connected() && !answered);
   }
 
@@ -308,10 +309,10 @@
   call->started = net::EventLoop::Now();
   call->timer = loop_->RunAt(call->started + call->request.timeout, [this, id] { OnTimeout(id); });
   calls_[id] = call;
-  const auto behind = std::upper_bound(
+  const auto position = std::upper_bound(
       host->waiting.begin(), host->waiting.end(), call,
       [](const auto& a, const auto& b) { return a->request.priority < b->request.priority; });
-  host->waiting.insert(behind, std::move(call));
+  host->waiting.insert(position, std::move(call));
   Dispatch(host.get());
   return id;
 }
@@ -321,20 +322,21 @@
     const std::shared_ptr<Call> call = host->waiting.front();
     if (call->Expired(net::EventLoop::Now())) {
       host->waiting.pop_front();
-      // The caller may be in the middle of Start() or of a callback.
+      // Deferred, as this may be called from within Start() or a callback.
       loop_->Defer([this, call] { Expire(call); });
       continue;
     }
     std::shared_ptr<Connection> connection;
     if (!call->request.unrepeatable) {
-      // The newest first: the others may then reach their idle limit.
+      // Prefers the newest connection, so that the others may reach their idle limit.
       const auto idle = std::find_if(host->connections.rbegin(), host->connections.rend(),
                                      [](const auto& item) { return item->idle(); });
       connection = idle == host->connections.rend() ? nullptr : *idle;
     }
-    const size_t most = call->request.max_connections > 0 ? call->request.max_connections
-                                                          : options_.max_connections_per_host;
-    const bool may_open = call->request.unrepeatable || host->connections.size() < most;
+    const size_t max_connections = call->request.max_connections > 0
+                                       ? call->request.max_connections
+                                       : options_.max_connections_per_host;
+    const bool may_open = call->request.unrepeatable || host->connections.size() < max_connections;
     if (connection == nullptr && !may_open) {
       return;
     }
@@ -360,8 +362,9 @@
   if (it == all.end()) {
     return;
   }
-  // It may be the one that calls: it goes when the loop is back at the top.
-  loop_->Defer([this, dead = *it, host = connection->host()] { Dispatch(host); });
+  // The connection may be the caller of this function, so it is destroyed in the next loop
+  // iteration.
+  loop_->Defer([this, closed = *it, host = connection->host()] { Dispatch(host); });
   all.erase(it);
 }
 
@@ -375,7 +378,7 @@
 
 void HttpClient::Expire(const std::shared_ptr<Call>& call) {
   ClientResponse response;
-  response.error = "no time was left";
+  response.error = "the time budget ran out before the request was sent";
   response.not_sent = true;
   Finish(call, std::move(response));
 }
@@ -419,13 +422,13 @@
   Cancel(id);
   if (call->done != nullptr) {
     ClientResponse response;
-    response.error = "withdrawn before it was sent";
+    response.error = "cancelled before the request was sent";
     response.not_sent = true;
     call->done(std::move(response));
   }
 }
 
-bool HttpClient::Abandon(CallId id, Duration patience, DoneCb late) {
+bool HttpClient::Abandon(CallId id, Duration timeout, DoneCb on_late) {
   const auto it = calls_.find(id);
   if (it == calls_.end()) {
     return false;
@@ -436,9 +439,9 @@
     return false;
   }
   call->abandoned = true;
-  call->done = std::move(late);
+  call->done = std::move(on_late);
   loop_->CancelTimer(call->timer);
-  call->timer = loop_->RunAt(net::EventLoop::Now() + patience, [this, id] { OnTimeout(id); });
+  call->timer = loop_->RunAt(net::EventLoop::Now() + timeout, [this, id] { OnTimeout(id); });
   return true;
 }
 
--- a/src/http/http_client.h
+++ b/src/http/http_client.h
@@ -1,6 +1,5 @@
-// HTTP/1.1 client on the event loop, with warm connections per address. A request is put on one
-// connection once and never sent again by the client itself: what a failure means is for the caller
-// to decide.
+// HTTP/1.1 client on the event loop, with a pool of persistent connections per address. The client
+// sends each request at most once and never retries: the caller decides what a failure means.
 #pragma once
 
 #include <cstdint>
@@ -17,69 +16,69 @@
 namespace pumicedyke::http {
 
 struct ClientRequest {
-  /// IP number and port.
+  /// IP address and port.
   std::string address;
   /// Path and query.
   std::string path;
-  /// With no method given: empty means GET, else POST.
+  /// If `method` is empty, an empty body means GET, any other POST.
   std::string body;
   Duration timeout = Seconds(5);
   std::string idempotency_key;
   std::string authorization;
-  /// Work that must not run twice: sent on a fresh connection, whose close before the reply is
-  /// rarer.
+  /// The work must not run twice. The request is sent on a new connection, which is less likely to
+  /// be closed before the response.
   bool unrepeatable = false;
   std::string method;
-  /// Sent as they stand, after Host (unless they hold one).
+  /// Sent unchanged, after Host (unless they contain it).
   Headers headers;
-  /// Request line and headers by EncodeHead(), Host among them, for requests to many peers that
-  /// differ in little; `path` is unused then, and `headers` come after it. Null: there is none.
+  /// Request line and headers from EncodeHead(), including Host, shared by similar requests to many
+  /// peers. If set, `path` is unused and `headers` are sent after it. May be null.
   std::shared_ptr<const std::string> shared_head;
-  /// A response whose header of this name has another value than `expected_echo` belongs to an
-  /// earlier request of the connection and is dropped. Empty: none is expected.
+  /// A response whose header of this name differs from `expected_echo` belongs to an earlier
+  /// request on the connection and is dropped. Empty: no echo is expected.
   std::string echoed_header;
   std::string expected_echo;
-  /// The peer is told in this header how many whole milliseconds of `budget`, which counts from
-  /// Start(), are left when the request is written. With nothing left the request is not written:
-  /// the call ends as not sent. Empty: it is not told.
+  /// Name of the header that states how many whole milliseconds of `budget`, counted from Start(),
+  /// are left when the request is written. If none are left, the request is not written and the
+  /// call ends as not sent. Empty: no such header.
   std::string budget_header;
   Duration budget{};
-  /// Connections to the address that may be open for this call to go out; zero: as the client's
-  /// options say.
+  /// A new connection is opened for this call only while the address has fewer connections. Zero:
+  /// HttpClientOptions::max_connections_per_host.
   size_t max_connections = 0;
-  /// No request to the address is to be expected soon: its connection is closed like one of many.
+  /// No further request to the address is expected soon, so its connection counts as surplus.
   bool close_soon = false;
-  /// Otherwise as many connections to the address outlive the surplus limit.
+  /// Without `close_soon`: the number of connections to the address that are not surplus.
   size_t kept_connections = 1;
-  /// Of calls that wait for a connection, those with the least go first.
+  /// Of the calls that wait for a connection, those with the lowest value are sent first.
   int priority = 0;
 };
 
 struct ClientResponse {
-  /// Zero if there was no whole response.
+  /// Zero if no complete response was received.
   int status = 0;
   std::string body;
   Duration retry_after{};
-  /// Set if not one byte of the request can have reached the peer.
+  /// Set if no byte of the request can have reached the peer.
   bool not_sent = false;
-  /// The peer's end of the connection went away after the request had gone out, before one byte of
-  /// a response.
+  /// The connection ended after the request was sent and before the first byte of a response.
   bool connection_lost = false;
   std::string error;
   std::string reason;
   Headers headers;
-  /// The response came on a connection that had served before.
+  /// The connection had already been used by an earlier request.
   bool reused_connection = false;
   bool ok() const { return status != 0; }
 };
 
 struct HttpClientOptions {
-  /// Warm connections kept per address, and connections in use beyond which calls wait their turn.
+  /// Maximum connections per address, idle ones included. Further calls wait, unless
+  /// they are unrepeatable.
   size_t max_connections_per_host = 8;
-  /// Idle connections are closed after this, or a little before the peer's own limit.
+  /// Idle connections are closed after this time, or shortly before the peer's own limit.
   Duration idle_limit = Seconds(60);
-  /// The same for connections of an address beyond those that are kept: peers count the connections
-  /// of a process that lost power as open for long, so no more are kept than are needed.
+  /// The idle limit of surplus connections of an address. After a power loss peers keep a process's
+  /// connections open for a long time, so only the needed ones are kept.
   Duration surplus_idle_limit = Milliseconds(1000);
   Duration connect_timeout = Milliseconds(1000);
 };
@@ -89,23 +88,25 @@
   using DoneCb = std::function<void(ClientResponse)>;
   using CallId = uint64_t;
 
-  /// @param loop must not run any more once this object is gone.
+  /// @param loop must not run any more once this object is destroyed.
   HttpClient(net::EventLoop* loop, HttpClientOptions options);
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  /// `done` is called once on the loop's thread, unless the call is cancelled before.
+  /// Starts a call. `done` is called once on the loop's thread, unless the call is cancelled
+  /// before.
   CallId Start(ClientRequest request, DoneCb done);
-  /// Ends the call and closes its connection: a reply that comes late must meet no other request.
+  /// Ends the call and closes its connection, so that a late response cannot be mistaken for that
+  /// of another request.
   void Cancel(CallId id);
-  /// The reply is no longer wanted, but the connection is: it is read to its end for up to
-  /// `patience`. @param late hears what became of the call; null: nobody does.
-  /// @return whether anything is still to come of the call.
-  bool Abandon(CallId id, Duration patience, DoneCb late = nullptr);
-  /// Ends the call as not sent, unless it may have been written.
+  /// Gives up the response but keeps the connection: the response is still read, for up to
+  /// `timeout`. @param on_late receives the result of the call; may be null.
+  /// @return whether the call is still open.
+  bool Abandon(CallId id, Duration timeout, DoneCb on_late = nullptr);
+  /// Ends the call as not sent, unless its request may have been written.
   void EndUnsent(CallId id);
-  /// Calls whose `done` is still to come.
+  /// Number of open calls that were not abandoned.
   size_t in_flight() const;
   uint64_t connections_opened() const { return connections_opened_; }
 
@@ -121,7 +122,7 @@
   void OnIdle(Connection* connection);
   void OnClosed(Connection* connection);
   void OnTimeout(CallId id);
-  /// Nothing is left of the call's budget; it was not written.
+  /// Ends a call whose budget ran out before its request was written.
   void Expire(const std::shared_ptr<Call>& call);
 
   net::EventLoop* loop_;
@@ -132,7 +133,7 @@
   uint64_t connections_opened_ = 0;
 };
 
-/// One blocking exchange, for command line tools and tests.
+/// Makes one blocking exchange, for command line tools and tests.
 ClientResponse FetchBlocking(const ClientRequest& request);
 
 }  // namespace pumicedyke::http
--- a/src/http/http_server.cc
+++ b/src/http/http_server.cc
@@ -19,9 +19,10 @@
 namespace {
 
 constexpr int kBacklog = 1024;
-constexpr int kAcceptsPerTurn = 16;
+constexpr int kAcceptsPerIteration = 16;
 constexpr char kContinue[] = "HTTP/1.1 100 Continue\r\n\r\n";
-/// A client that was refused in mid-request may still be sending: it gets this long to read.
+/// A client whose request was refused before its end may still be sending. It gets this long to
+/// read the response.
 constexpr Duration kLingerAfterError = Milliseconds(500);
 
 HttpResponse ErrorResponse(ResultCode code) {
@@ -80,7 +81,7 @@
 
 }  // namespace
 
-/// One client connection: requests one after the other, each answered before the next is read.
+/// A client connection. Each request is answered before the next one is read.
 class HttpServer::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(HttpServer* server, uint64_t id, ACE_HANDLE handle)
@@ -92,15 +93,15 @@
                 {.on_bytes = [this](std::string* input) { OnBytes(input); },
                  .on_end = [this](net::StreamEnd) { OnEnd(); },
                  .on_drained = {}}) {
-    Rearm();
+    RestartIdleTimer();
   }
   ~Connection() { loop_->CancelTimer(timer_); }
 
-  /// Part of a request is here, or a whole one is not answered.
+  /// Whether part of a request was received, or a request or its response is still in progress.
   bool busy() const {
     return serving_ || parser_.state() != ParseState::kEmpty || stream_.unwritten() > 0;
   }
-  /// The server goes away: answers that come later meet nothing.
+  /// Closes the connection because the server is being destroyed. Later responses are ignored.
   void Detach() {
     server_ = nullptr;
     stream_.Close();
@@ -113,7 +114,8 @@
 
   void OnBytes(std::string* input) {
     if (serving_ || closing_) {
-      // Pipelined: stays in the input until the answer is out. After an error it is dropped.
+      // A pipelined request stays in the input until the response is written. After an error the
+      // input is dropped.
       if (closing_) {
         input->clear();
       }
@@ -126,18 +128,18 @@
 
   void ReadRequests() {
     while (!serving_ && !closing_ && input_ != nullptr && !input_->empty()) {
-      const bool fresh = parser_.state() == ParseState::kEmpty;
+      const bool starts_request = parser_.state() == ParseState::kEmpty;
       const ParseState state = parser_.Consume(input_);
-      if (fresh) {
+      if (starts_request) {
         request_started_ = net::EventLoop::Now();
-        Rearm();
+        RestartIdleTimer();
       }
       if (state == ParseState::kFailed) {
         Refuse(CodeOfError(parser_.error()));
         return;
       }
-      if (state == ParseState::kBody && !continued_ && parser_.ExpectsContinue()) {
-        continued_ = true;
+      if (state == ParseState::kBody && !continue_sent_ && parser_.ExpectsContinue()) {
+        continue_sent_ = true;
         stream_.Write(kContinue);
       }
       if (state != ParseState::kComplete) {
@@ -151,9 +153,9 @@
     RequestMessage message = parser_.Take();
     keep_alive_ = message.keep_alive;
     head_only_ = message.method == "HEAD";
-    continued_ = false;
+    continue_sent_ = false;
     serving_ = true;
-    Rearm();
+    RestartIdleTimer();
     const uint64_t number = ++request_number_;
     if (number == 1) {
       round_trip_ = stream_.RoundTrip();
@@ -168,10 +170,10 @@
                               connection->Answer(number, std::move(response));
                             }
                           },
-                          [self, number](std::function<void()> on_gone) {
+                          [self, number](std::function<void()> on_disconnect) {
                             const auto connection = self.lock();
                             if (connection && connection->request_number_ == number) {
-                              connection->on_gone_ = std::move(on_gone);
+                              connection->on_disconnect_ = std::move(on_disconnect);
                             }
                           }));
   }
@@ -181,10 +183,10 @@
       return;
     }
     serving_ = false;
-    on_gone_ = {};
+    on_disconnect_ = {};
     const bool keep = keep_alive_ && !server_->draining_;
     stream_.Write(EncodeResponse(ToMessage(std::move(response), keep), head_only_));
-    Rearm();
+    RestartIdleTimer();
     if (!keep) {
       closing_ = true;
       stream_.CloseWhenDrained();
@@ -199,8 +201,8 @@
     }
   }
 
-  /// Answers what cannot be read as a request. The close waits a little: closing with unread bytes
-  /// resets the connection, and the answer would be lost with it.
+  /// Responds to an invalid request with an error. The close is delayed, because closing with
+  /// unread bytes resets the connection and may lose the response.
   void Refuse(ResultCode code) {
     closing_ = true;
     stream_.Write(EncodeResponse(ToMessage(ErrorResponse(code), /*keep_alive=*/false), false));
@@ -219,7 +221,7 @@
     return idle_since_ + Seconds(server_->options_.idle_seconds);
   }
 
-  void Rearm() {
+  void RestartIdleTimer() {
     idle_since_ = net::EventLoop::Now();
     if (timer_ == 0) {
       timer_ = loop_->RunAt(idle_since_ + Seconds(1), [this] { OnTimer(); });
@@ -237,18 +239,18 @@
       }
       return;
     }
-    const Timestamp soon = now + Seconds(1);
-    timer_ = loop_->RunAt(std::min(soon, Deadline()), [this] { OnTimer(); });
+    const Timestamp next_check = now + Seconds(1);
+    timer_ = loop_->RunAt(std::min(next_check, Deadline()), [this] { OnTimer(); });
   }
 
   void OnEnd() {
     stream_.Close();
     loop_->CancelTimer(timer_);
     timer_ = 0;
-    if (std::exchange(serving_, false) && on_gone_) {
-      const auto on_gone = std::move(on_gone_);
-      on_gone_ = {};
-      on_gone();
+    if (std::exchange(serving_, false) && on_disconnect_) {
+      const auto on_disconnect = std::move(on_disconnect_);
+      on_disconnect_ = {};
+      on_disconnect();
     }
     if (server_ != nullptr) {
       server_->Remove(id_);
@@ -264,10 +266,10 @@
   bool closing_ = false;
   bool keep_alive_ = true;
   bool head_only_ = false;
-  bool continued_ = false;
+  bool continue_sent_ = false;
   uint64_t request_number_ = 0;
   Duration round_trip_{};
-  std::function<void()> on_gone_;
+  std::function<void()> on_disconnect_;
   Timestamp idle_since_{};
   Timestamp request_started_{};
   net::EventLoop::TimerId timer_ = 0;
@@ -325,7 +327,7 @@
 }
 
 int HttpServer::handle_input(ACE_HANDLE /*handle*/) {
-  for (int accepted = 0; accepted < kAcceptsPerTurn; ++accepted) {
+  for (int accepted = 0; accepted < kAcceptsPerIteration; ++accepted) {
     const ACE_HANDLE handle = ::accept4(listener_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (handle == ACE_INVALID_HANDLE) {
       return 0;
@@ -343,7 +345,7 @@
 void HttpServer::Remove(uint64_t id) {
   const auto it = connections_.find(id);
   if (it != connections_.end()) {
-    // It may be the one that calls: it goes when the loop is back at the top.
+    // The connection may be the caller, so it is destroyed in the next loop iteration.
     loop_->Defer([connection = it->second] {});
     connections_.erase(it);
   }
--- a/src/http/http_server.h
+++ b/src/http/http_server.h
@@ -1,5 +1,5 @@
-// HTTP/1.1 server on the event loop. A request is handed over whole; its answer may come at any
-// later time. A client that leaves before its answer is noticed at once.
+// HTTP/1.1 server on the event loop. Passes complete requests to a handler, which may respond at
+// any later time. Detects at once when a client disconnects before the response.
 #pragma once
 
 #include <ace/Event_Handler.h>
@@ -24,10 +24,11 @@
   std::string body;
   std::string idempotency_key;
   std::string authorization;
-  /// As it came: path and query, not decoded.
+  /// Path and query as received, not decoded.
   std::string target;
   Headers headers;
-  /// To the client and back, as measured when its connection was made; zero: not known.
+  /// Round-trip time to the client, measured at the first request of its connection. Zero: not
+  /// known.
   Duration round_trip{};
 };
 
@@ -38,9 +39,9 @@
   std::string content_type = "application/json";
   /// Zero: no Retry-After header. Rounded up to whole seconds.
   Duration retry_after{};
-  /// Further headers, as they stand.
+  /// Additional headers, sent unchanged.
   Headers headers = {};
-  /// Empty: the usual phrase of the status.
+  /// Empty: the standard reason phrase of the status.
   std::string reason = {};
 };
 
@@ -48,14 +49,14 @@
   size_t max_body_bytes = 1 << 20;
   size_t max_header_bytes = 64 * 1024;
   unsigned max_connections = 4000;
-  /// Seconds after which a silent client is cut off.
+  /// Seconds after which an idle connection is closed.
   unsigned idle_seconds = 30;
-  /// Longest time from the first byte of a request to its last.
+  /// Maximum time from the first byte of a request to its last.
   Duration request_timeout = Seconds(30);
 };
 
-/// Answers one request. Only the first answer counts. A request whose last responder goes away
-/// unanswered is never answered, so whoever takes one answers it.
+/// Sends the response to one request. Only the first response counts. A request whose last
+/// responder is destroyed without a response is never answered, so its holder must send one.
 class Responder {
  public:
   using SendCb = std::function<void(HttpResponse)>;
@@ -64,10 +65,10 @@
   explicit Responder(SendCb send, WatchCb watch = {})
       : send_(std::move(send)), watch_(std::move(watch)) {}
   void Send(HttpResponse response) { send_(std::move(response)); }
-  /// `on_gone` is called once if the client leaves before its answer was sent.
-  void WatchClient(std::function<void()> on_gone) {
+  /// Calls `on_disconnect` once if the client disconnects before the response is sent.
+  void WatchClient(std::function<void()> on_disconnect) {
     if (watch_) {
-      watch_(std::move(on_gone));
+      watch_(std::move(on_disconnect));
     }
   }
 
@@ -85,17 +86,17 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// @param address IPv4 number and port; port 0 takes one from the OS.
+  /// @param address IPv4 address and port. Port 0: the operating system chooses one.
   absl::Status Listen(const std::string& address);
   uint16_t port() const { return port_; }
 
-  /// Holds for connections and requests that come from now on.
+  /// Applies to connections and requests that start from now on.
   void SetOptions(const HttpServerOptions& options) { options_ = options; }
-  /// From now on answers tell clients to close their connections.
+  /// From now on, each response closes its connection.
   void StartDraining() { draining_ = true; }
-  /// Takes no new connections any more.
+  /// Stops accepting connections.
   void StopListening();
-  /// Requests that were received, even in part, and are not answered yet.
+  /// Number of requests that were at least partly received and are not answered yet.
   size_t in_flight() const;
   unsigned connections() const { return static_cast<unsigned>(connections_.size()); }
 
@@ -117,7 +118,7 @@
   std::map<uint64_t, std::shared_ptr<Connection>> connections_;
 };
 
-/// Splits "IP:port". @return false if it is not that.
+/// Splits "IP:port". @return false if the text does not have this form.
 bool SplitAddress(const std::string& address, std::string* host, uint16_t* port);
 
 }  // namespace pumicedyke::http
--- a/src/http/message_parser.cc
+++ b/src/http/message_parser.cc
@@ -24,7 +24,7 @@
   return parser;
 }
 
-/// Feeds the parser until it wants more, is done or fails.
+/// Feeds the parser until it needs more input, is done or fails. Removes the used input.
 template <bool is_request>
 ErrorCode Put(Parser<is_request>* parser, std::string* input) {
   ErrorCode error;
--- a/src/http/message_parser.h
+++ b/src/http/message_parser.h
@@ -1,5 +1,5 @@
-// Incremental parsers of HTTP/1.1 requests and responses, over Boost.Beast's parser. They see
-// exactly the bytes of the connection: what comes after a message stays with the caller.
+// Incremental parsers of HTTP/1.1 requests and responses, based on Boost.Beast's parser. They
+// consume exactly the bytes of one message; following bytes stay in the caller's input.
 #pragma once
 
 #include <cstdint>
@@ -16,11 +16,11 @@
 };
 
 enum class ParseState {
-  /// Nothing of a message has come yet.
+  /// No byte of a message was received yet.
   kEmpty,
-  /// The head is not whole yet.
+  /// The head is incomplete.
   kHead,
-  /// The head is whole, the body is not.
+  /// The head is complete, the body is not.
   kBody,
   kComplete,
   kFailed,
@@ -33,13 +33,14 @@
   explicit RequestParser(MessageLimits limits);
   ~RequestParser();
 
-  /// Takes as much as belongs to the current message and removes it from the front of `input`.
+  /// Parses the bytes that belong to the current message, and removes them from the front of
+  /// `input`.
   ParseState Consume(std::string* input);
   ParseState state() const { return state_; }
   ParseError error() const { return error_; }
-  /// Valid once the head is whole: the sender waits for "100 Continue".
+  /// Whether the sender waits for "100 Continue". Valid once the head is complete.
   bool ExpectsContinue() const;
-  /// The whole message; the parser is ready for the next one.
+  /// Returns the complete message and resets the parser for the next one.
   RequestMessage Take();
 
  private:
@@ -52,12 +53,12 @@
 
 class ResponseParser {
  public:
-  /// @param to_head the response answers HEAD and has no body.
+  /// @param to_head whether the response answers HEAD and so has no body.
   ResponseParser(MessageLimits limits, bool to_head);
   ~ResponseParser();
 
   ParseState Consume(std::string* input);
-  /// The connection was closed in order: completes a response that has no length.
+  /// Handles an orderly close of the connection, which completes a response without a length.
   ParseState ConsumeEnd();
   ParseState state() const { return state_; }
   ResponseMessage Take();
--- a/src/http/metrics.cc
+++ b/src/http/metrics.cc
@@ -13,10 +13,10 @@
 
 void FillHistogram(const Histogram& histogram, prometheus::ClientMetric::Histogram* out) {
   const auto seconds = [](Duration time) { return static_cast<double>(time.count()) / 1e6; };
-  uint64_t up_to = 0;
+  uint64_t cumulative = 0;
   for (size_t i = 0; i < kHistogramBounds.size(); ++i) {
-    up_to += histogram.counts[i];
-    out->bucket.push_back({up_to, seconds(kHistogramBounds[i])});
+    cumulative += histogram.counts[i];
+    out->bucket.push_back({cumulative, seconds(kHistogramBounds[i])});
   }
   out->bucket.push_back({histogram.count, std::numeric_limits<double>::infinity()});
   out->sample_count = histogram.count;
--- a/src/http/metrics.h
+++ b/src/http/metrics.h
@@ -17,10 +17,10 @@
                const Labels& labels = {});
   void Gauge(const std::string& name, const std::string& help, double value,
              const Labels& labels = {});
-  /// In seconds. All samples of one name must be added one after the other.
+  /// Adds a histogram in seconds. All samples of one name must be added consecutively.
   void AddHistogram(const std::string& name, const std::string& help, const Histogram& histogram,
                     const Labels& labels = {});
-  /// CPU seconds, resident bytes and the like of this process.
+  /// Adds the CPU time and the resident memory of this process.
   void AddProcess();
   std::string Text() const;
 
--- a/test/http/client_connections_test.cc
+++ b/test/http/client_connections_test.cc
@@ -1,4 +1,4 @@
-// Which calls get the connections to an address, and which connections stay.
+// Tests which calls get the connections to an address, and which connections are kept.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <functional>
@@ -13,7 +13,7 @@
 namespace pumicedyke::http {
 namespace {
 
-/// Answers whenever so many requests are there.
+/// Answers held requests as soon as `together` of them have arrived.
 class Peer {
  public:
   Peer(net::EventLoop* loop, size_t together)
@@ -39,7 +39,8 @@
   HttpServer server_;
 };
 
-/// Three times two calls at once, with a turn of the loop between.
+/// Makes three rounds of two concurrent calls, with a pause between rounds. @return the number of
+/// connections opened.
 uint64_t ConnectionsOpened(size_t kept) {
   net::EventLoop loop;
   Peer peer(&loop, 2);
@@ -60,7 +61,7 @@
         if (++rounds == 3) {
           loop.Stop();
         } else {
-          // Connections whose time is over close first.
+          // Connections past their idle limit are closed before the next round.
           loop.RunAt(net::EventLoop::Now() + Milliseconds(1), next);
         }
       });
@@ -75,12 +76,12 @@
 
 class ClientConnectionsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ClientConnectionsTest);
-  CPPUNIT_TEST(AsManyStayAsAreKept);
+  CPPUNIT_TEST(KeptConnectionsAreReused);
   CPPUNIT_TEST(UrgentCallsGetTheNextConnection);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void AsManyStayAsAreKept() {
+  void KeptConnectionsAreReused() {
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, ConnectionsOpened(2));
     CPPUNIT_ASSERT(ConnectionsOpened(1) > 2);
   }
--- a/test/http/http_client_test.cc
+++ b/test/http/http_client_test.cc
@@ -1,5 +1,5 @@
-// What becomes of a request whose connection closes before the reply: the client never sends it
-// again by itself, and says whether it may have reached the peer.
+// Tests requests whose connection closes before the response: the client never resends them, and
+// reports whether they may have reached the peer.
 #include "http/http_client.h"
 
 #include <arpa/inet.h>
@@ -17,13 +17,13 @@
 namespace pumicedyke::http {
 namespace {
 
-/// Answers the first request of each connection and hangs up on the second one without a reply.
-/// In the mode kNeverAnswers it hangs up on the first.
-class RudeServer {
+/// Answers the first request of each connection, and closes the connection at the second one
+/// without a response. With kNeverAnswers it closes the connection at the first request.
+class DisconnectingServer {
  public:
   enum class Mode { kAnswersFirst, kNeverAnswers };
 
-  explicit RudeServer(Mode mode) : mode_(mode) {
+  explicit DisconnectingServer(Mode mode) : mode_(mode) {
     socket_ = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in address{};
     address.sin_family = AF_INET;
@@ -35,7 +35,7 @@
     CPPUNIT_ASSERT(::listen(socket_, 16) == 0);
     thread_ = std::thread([this] { Serve(); });
   }
-  ~RudeServer() {
+  ~DisconnectingServer() {
     ::shutdown(socket_, SHUT_RDWR);
     thread_.join();
     ::close(socket_);
@@ -63,7 +63,7 @@
     ReadRequest(client);
   }
 
-  /// @return whether a whole request with its body "job" came.
+  /// @return whether a complete request with the body "job" was received.
   bool ReadRequest(int client) {
     std::string text;
     char buffer[4096];
@@ -85,7 +85,7 @@
   std::thread thread_;
 };
 
-/// Does `count` exchanges one after the other on one client.
+/// Makes `count` consecutive exchanges with one client.
 std::vector<ClientResponse> Exchange(const std::string& address, int count, bool unrepeatable) {
   net::EventLoop loop;
   HttpClient client(&loop, {.max_connections_per_host = 4});
@@ -114,16 +114,17 @@
 
 class HttpClientTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HttpClientTest);
-  CPPUNIT_TEST(ReusedConnectionIsNeverResent);
+  CPPUNIT_TEST(RequestOnAReusedConnectionIsNeverResent);
   CPPUNIT_TEST(UnrepeatableRequestIsSentOnce);
-  CPPUNIT_TEST(HangUpIsNotTakenForNotSent);
+  CPPUNIT_TEST(ClosedConnectionDoesNotCountAsNotSent);
   CPPUNIT_TEST(RefusedConnectionIsNotSent);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  /// Two calls, two requests at the server: the second is lost with its connection and says so.
-  void ReusedConnectionIsNeverResent() {
-    RudeServer server(RudeServer::Mode::kAnswersFirst);
+  /// Two calls reach the server as two requests. The second one is lost with its connection and is
+  /// reported as such.
+  void RequestOnAReusedConnectionIsNeverResent() {
+    DisconnectingServer server(DisconnectingServer::Mode::kAnswersFirst);
     const auto responses = Exchange(server.address(), 2, /*unrepeatable=*/false);
     CPPUNIT_ASSERT(responses[0].ok());
     CPPUNIT_ASSERT(!responses[1].ok());
@@ -133,14 +134,14 @@
   }
 
   void UnrepeatableRequestIsSentOnce() {
-    RudeServer server(RudeServer::Mode::kAnswersFirst);
+    DisconnectingServer server(DisconnectingServer::Mode::kAnswersFirst);
     const auto responses = Exchange(server.address(), 5, /*unrepeatable=*/true);
     CPPUNIT_ASSERT_EQUAL(size_t{5}, responses.size());
     CPPUNIT_ASSERT_EQUAL(5, server.received());
   }
 
-  void HangUpIsNotTakenForNotSent() {
-    RudeServer server(RudeServer::Mode::kNeverAnswers);
+  void ClosedConnectionDoesNotCountAsNotSent() {
+    DisconnectingServer server(DisconnectingServer::Mode::kNeverAnswers);
     const auto responses = Exchange(server.address(), 1, /*unrepeatable=*/true);
     CPPUNIT_ASSERT(!responses[0].ok());
     CPPUNIT_ASSERT(!responses[0].not_sent);
@@ -150,8 +151,8 @@
   void RefusedConnectionIsNotSent() {
     std::string address;
     {
-      const RudeServer gone(RudeServer::Mode::kNeverAnswers);
-      address = gone.address();
+      const DisconnectingServer closed_server(DisconnectingServer::Mode::kNeverAnswers);
+      address = closed_server.address();
     }
     const auto responses = Exchange(address, 1, /*unrepeatable=*/true);
     CPPUNIT_ASSERT(!responses[0].ok());
--- a/test/http/message_parser_test.cc
+++ b/test/http/message_parser_test.cc
@@ -1,4 +1,4 @@
-// Requests and responses as they come off a connection: whole, in pieces, malformed, surplus.
+// Tests parsing of requests and responses: whole, in pieces, malformed, and with surplus bytes.
 #include "http/message_parser.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -24,11 +24,11 @@
   CPPUNIT_TEST_SUITE(MessageParserTest);
   CPPUNIT_TEST(RequestsAreReadWhole);
   CPPUNIT_TEST(MalformedRequestsFail);
-  CPPUNIT_TEST(LimitsAreKept);
-  CPPUNIT_TEST(ResponsesEndWhereTheySay);
-  CPPUNIT_TEST(PiecesMakeTheSameMessages);
+  CPPUNIT_TEST(LimitsAreEnforced);
+  CPPUNIT_TEST(ResponsesEndAtTheirLength);
+  CPPUNIT_TEST(PiecesGiveTheSameMessages);
   CPPUNIT_TEST(GarbageDoesNoHarm);
-  CPPUNIT_TEST(WhatIsWrittenIsReadBack);
+  CPPUNIT_TEST(EncodedMessagesAreParsed);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -70,7 +70,7 @@
     }
   }
 
-  void LimitsAreKept() {
+  void LimitsAreEnforced() {
     const MessageLimits limits{.header_bytes = 200, .body_bytes = 10};
     RequestParser headers(limits);
     std::string text = "GET / HTTP/1.1\r\nA: " + std::string(300, 'a') + "\r\n\r\n";
@@ -86,12 +86,12 @@
     CPPUNIT_ASSERT(chunked.error() == ParseError::kBodyTooLarge);
   }
 
-  void ResponsesEndWhereTheySay() {
+  void ResponsesEndAtTheirLength() {
     std::string text = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n";
     ResponseParser counted({}, false);
     CPPUNIT_ASSERT(counted.Consume(&text) == ParseState::kComplete);
     CPPUNIT_ASSERT_EQUAL(std::string("HTTP/1.1 200 OK\r\n"), text);
-    // Without a length the orderly end of the connection completes it, and only that.
+    // Without a length, only the orderly end of the connection completes the response.
     ResponseParser open({}, false);
     text = "HTTP/1.1 200 OK\r\n\r\npart";
     CPPUNIT_ASSERT(open.Consume(&text) == ParseState::kBody);
@@ -108,7 +108,7 @@
     CPPUNIT_ASSERT(head.Consume(&text) == ParseState::kComplete);
   }
 
-  void PiecesMakeTheSameMessages() {
+  void PiecesGiveTheSameMessages() {
     const std::string text =
         "POST /a HTTP/1.1\r\nHost: x\r\nX-Y: 1\r\nContent-Length: 5\r\n\r\nhello"
         "GET /b HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -131,8 +131,8 @@
     CPPUNIT_ASSERT(held);
   }
 
-  /// Sound messages with bytes changed, cut out or doubled: the parser fails or reads something,
-  /// and never takes more than it was given.
+  /// Valid messages with bytes changed, removed or duplicated: the parser fails or reads a message,
+  /// and never consumes more than its input.
   void GarbageDoesNoHarm() {
     const std::string request =
         "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nTE: a, b\r\n\r\nhello";
@@ -171,7 +171,7 @@
     CPPUNIT_ASSERT(held);
   }
 
-  void WhatIsWrittenIsReadBack() {
+  void EncodedMessagesAreParsed() {
     RequestMessage request{"POST", "/x?y", {{"Host", "h"}, {"A", "b"}}, "body", true};
     RequestMessage read;
     std::string rest;
--- a/test/http/surplus_answer_test.cc
+++ b/test/http/surplus_answer_test.cc
@@ -1,5 +1,6 @@
-// A peer that answers a request once more, late, in the place of the next answer; one that ends an
-// answer with a reset; one that answers before it has the whole request.
+// Tests peers that answer a request a second time in place of the next response, that send surplus
+// bytes after a response, that reset the connection within a response, or that end a response by
+// closing the connection.
 #include <arpa/inet.h>
 #include <cppunit/extensions/HelperMacros.h>
 #include <netinet/in.h>
@@ -16,12 +17,12 @@
 namespace pumicedyke::http {
 namespace {
 
-/// A peer that serves one connection at a time by a script and then ends.
+/// A peer that serves a number of connections, one at a time, by a script.
 class ScriptedPeer {
  public:
   using Script = std::function<void(int connection)>;
 
-  /// @param connections how many are served, each by `script`.
+  /// @param connections number of connections to serve, each by `script`.
   ScriptedPeer(int connections, const Script& script) {
     socket_ = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in address{};
@@ -83,7 +84,7 @@
   return request;
 }
 
-/// Makes the calls one after the other on one client.
+/// Makes the calls consecutively with one client.
 std::vector<ClientResponse> Exchange(const std::vector<ClientRequest>& requests) {
   net::EventLoop loop;
   HttpClient client(&loop, {.max_connections_per_host = 1});
@@ -109,8 +110,8 @@
   CPPUNIT_TEST_SUITE(SurplusAnswerTest);
   CPPUNIT_TEST(LateSurplusIsDroppedByItsId);
   CPPUNIT_TEST(EarlySurplusEndsTheConnection);
-  CPPUNIT_TEST(ResetAnswerIsNotWhole);
-  CPPUNIT_TEST(EndOfConnectionCompletesAnUnframedAnswer);
+  CPPUNIT_TEST(ResetResponseIsIncomplete);
+  CPPUNIT_TEST(EndOfConnectionCompletesAnUnframedResponse);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -119,7 +120,7 @@
       ScriptedPeer::ReadHead(connection);
       ScriptedPeer::Write(connection, ScriptedPeer::Answer("one"));
       ScriptedPeer::ReadHead(connection);
-      // Once more for the first request, in the place of the second's answer.
+      // A second response to the first request, in place of the response to the second request.
       ScriptedPeer::Write(connection, ScriptedPeer::Answer("one"));
       ScriptedPeer::Write(connection, ScriptedPeer::Answer("two"));
       ScriptedPeer::ReadHead(connection);
@@ -146,7 +147,7 @@
     CPPUNIT_ASSERT(!responses[1].reused_connection);
   }
 
-  void ResetAnswerIsNotWhole() {
+  void ResetResponseIsIncomplete() {
     ScriptedPeer peer(1, [](int connection) {
       ScriptedPeer::ReadHead(connection);
       ScriptedPeer::Write(connection, "HTTP/1.1 200 OK\r\nX-Id: one\r\n\r\npart");
@@ -158,7 +159,7 @@
     CPPUNIT_ASSERT(!responses[0].not_sent);
   }
 
-  void EndOfConnectionCompletesAnUnframedAnswer() {
+  void EndOfConnectionCompletesAnUnframedResponse() {
     ScriptedPeer peer(1, [](int connection) {
       ScriptedPeer::ReadHead(connection);
       ScriptedPeer::Write(connection, "HTTP/1.1 200 OK\r\nX-Id: one\r\n\r\nwhole");
--- a/test/http/work_budget_test.cc
+++ b/test/http/work_budget_test.cc
@@ -1,5 +1,5 @@
-// The time that a request tells its peer to have left is what is left when it is written, not when
-// it was asked for: it may have waited for a connection meanwhile.
+// Tests that a request states the time left when it is written, not when the call was started: the
+// call may have waited for a connection in between.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <string>
@@ -16,7 +16,7 @@
 constexpr Duration kBudget = Seconds(10);
 constexpr Duration kHold = Milliseconds(80);
 
-int64_t LeftAt(const HttpRequest& request) {
+int64_t TimeLeftOf(const HttpRequest& request) {
   int64_t left = -1;
   const std::string* value = FindHeader(request.headers, "X-Left");
   CPPUNIT_ASSERT(value != nullptr && absl::SimpleAtoi(*value, &left));
@@ -27,18 +27,18 @@
 
 class WorkBudgetTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(WorkBudgetTest);
-  CPPUNIT_TEST(TimeSpentWaitingForAConnectionIsTakenOff);
-  CPPUNIT_TEST(NothingIsWrittenOnceNoTimeIsLeft);
+  CPPUNIT_TEST(WaitingForAConnectionReducesTheBudget);
+  CPPUNIT_TEST(NothingIsWrittenOnceTheBudgetIsSpent);
   CPPUNIT_TEST(SharedHeadComesBeforeOwnHeaders);
-  CPPUNIT_TEST(ConnectionThatNobodyNeedsSoonIsClosed);
+  CPPUNIT_TEST(UnneededConnectionIsClosed);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void TimeSpentWaitingForAConnectionIsTakenOff() {
+  void WaitingForAConnectionReducesTheBudget() {
     net::EventLoop loop;
     std::vector<int64_t> left;
     HttpServer server(&loop, {}, [&](const HttpRequest& request, Responder responder) {
-      left.push_back(LeftAt(request));
+      left.push_back(TimeLeftOf(request));
       loop.RunAt(net::EventLoop::Now() + kHold, [responder]() mutable {
         responder.Send({200, "{}"});
       });
@@ -67,7 +67,7 @@
     CPPUNIT_ASSERT(left[1] > 0);
   }
 
-  void ConnectionThatNobodyNeedsSoonIsClosed() {
+  void UnneededConnectionIsClosed() {
     net::EventLoop loop;
     HttpServer server(&loop, {}, [](const HttpRequest&, Responder responder) {
       responder.Send({200, "{}"});
@@ -89,7 +89,7 @@
     CPPUNIT_ASSERT_EQUAL(uint64_t{1}, client.connections_opened());
   }
 
-  void NothingIsWrittenOnceNoTimeIsLeft() {
+  void NothingIsWrittenOnceTheBudgetIsSpent() {
     net::EventLoop loop;
     int seen = 0;
     HttpServer server(&loop, {}, [&](const HttpRequest&, Responder responder) {
