--- a/src/http/http_client.cc
+++ b/src/http/http_client.cc
@@ -56,7 +56,7 @@
   return EncodeHead(MethodOf(request), request.path, headers);
 }
 
-/// @param spent time since the call was started.
+/// @param elapsed time since the call was started.
 std::string Encode(const ClientRequest& request, Duration elapsed) {
   std::string text = request.shared_head != nullptr ? *request.shared_head : EncodeOwnHead(request);
   AppendHeaders(request.headers, &text);
@@ -149,7 +149,7 @@
     }
     if (call_->Expired(net::EventLoop::Now())) {
       const std::shared_ptr<Call> call = std::exchange(call_, nullptr);
-      ArmIdleTimer(/*kept=*/0);
+      ArmIdleTimer(/*retained=*/0);
       client_->OnIdle(this);
       client_->Expire(call);
       return;
@@ -223,7 +223,7 @@
     client_->Finish(call, std::move(response));
   }
 
-  /// @param kept number of connections to the address that are not surplus.
+  /// @param retained number of connections to the address that are not surplus.
   void ArmIdleTimer(size_t retained) {
     Duration limit = host_->connections.size() > retained ? client_->options_.surplus_idle_limit
                                                           : client_->options_.idle_limit;
