--- a/src/server/config_view.h
+++ b/src/server/config_view.h
@@ -1,5 +1,5 @@
-// What operators are shown of the configuration. A document of routes holds API keys: its text is
-// left out, and what can be told of its tenants stands in its place. Safe on any thread.
+// The operators' view of the configuration. A route document holds API keys, so its text is removed
+// and replaced by a description of its tenants without keys. Safe on any thread.
 #pragma once
 
 #include <string>
@@ -8,8 +8,8 @@
 
 namespace pumicedyke::server {
 
-/// @param state a serialized configuration; anything else is returned as it is.
-/// @param documents null: documents cannot be read here.
+/// @param state a serialized configuration; any other text is returned unchanged.
+/// @param documents reads route documents; if null, the tenants of a document are left out.
 std::string ViewOfConfig(const std::string& state, const routing::DocumentReader* documents);
 
 }  // namespace pumicedyke::server
--- a/src/server/control_dialect_calls.cc
+++ b/src/server/control_dialect_calls.cc
@@ -1,5 +1,5 @@
-// The part of ControlProcess that serves those who speak the dialect: operators' documents, leafs'
-// heartbeats, clients in search of a gateway.
+// The part of ControlProcess that serves the dialect: operators' documents, leafs' heartbeats, and
+// clients' gateway lookups.
 #include <algorithm>
 #include <utility>
 
@@ -13,9 +13,9 @@
 
 constexpr size_t kMaxDocumentBytes = 8 << 20;
 /// Callers turn to another machine after a second without an answer.
-constexpr Duration kZoneOrderPatience = Milliseconds(900);
+constexpr Duration kZoneOrderTimeout = Milliseconds(900);
 
-/// The refusal that an unsuccessful reply of the control server stands for; OK if it is a success.
+/// Returns the status of a reply of the control server.
 absl::Status StatusOfReply(const control::OperatorReply& reply) {
   const Json body = Json::parse(reply.body, nullptr, /*allow_exceptions=*/false);
   if (!body.is_object()) {
@@ -25,13 +25,14 @@
   return code == ResultCode::kOk ? absl::OkStatus() : MakeStatus(code, body.value("message", ""));
 }
 
-/// The revision of what a refused change was about.
+/// Returns the current revision of the object that a refused change concerned.
 uint64_t RevisionOfReply(const control::OperatorReply& reply) {
   const Json body = Json::parse(reply.body, nullptr, /*allow_exceptions=*/false);
   return body.is_object() ? body.value("revision", uint64_t{0}) : 0;
 }
 
-/// Another leaf that is committed at the address of `record`; null: there is none.
+/// Returns another leaf that is committed at the address of `record`, or null. Always null if the
+/// leaf of `record` is itself committed.
 const std::string* OtherLeafAt(const config::ConfigState& config, const wire::LeafRecord& record) {
   if (config.reported().contains(record.leaf)) {
     return nullptr;
@@ -126,7 +127,7 @@
   const std::string leaf = command.report.record.leaf;
   const uint64_t born_ms = command.report.record.born_ms;
   if (IsFormerLife(leaf, born_ms)) {
-    // Nobody must report it again: the leaf has started anew since.
+    // Accepted so that it is not reported again: the leaf has restarted since.
     LogEvent("leaf_former_life",
              {{"leaf", leaf}, {"born_ms", born_ms}, {"sequence", command.report.sequence}});
     responder.Send(dialect_->WriteAccepted());
@@ -145,8 +146,8 @@
     return;
   }
   command.report.record.draining |= retired;
-  const std::string* elsewhere = OtherLeafAt(server_->state().config(), command.report.record);
-  const registry::ReportVerdict verdict = discovery_->OnLeafReport(now, command.report, elsewhere);
+  const std::string* other_leaf = OtherLeafAt(server_->state().config(), command.report.record);
+  const registry::ReportVerdict verdict = discovery_->OnLeafReport(now, command.report, other_leaf);
   if (verdict == registry::ReportVerdict::kUnconfirmed) {
     LogEvent("leaf_unconfirmed", {{"leaf", leaf},
                                   {"address", command.report.record.address},
@@ -167,8 +168,8 @@
   change.kind = config::ChangeKind::kRetireLeaf;
   change.leaf = command.leaf;
   const wire::LeafRecord* known = discovery_->registry().Find(command.leaf);
-  const bool says = command.born_ms != 0 || known == nullptr;
-  change.born_ms = says ? command.born_ms : known->born_ms;
+  const bool use_given_born_ms = command.born_ms != 0 || known == nullptr;
+  change.born_ms = use_given_born_ms ? command.born_ms : known->born_ms;
   SubmitFor(change, std::move(responder), [this, leaf = command.leaf, born_ms = change.born_ms] {
     discovery_->OnLeafRetired(net::EventLoop::Now(), leaf, born_ms);
     LogEvent("leaf_retired", {{"leaf", leaf}, {"by", "its own call"}, {"born_ms", born_ms}});
@@ -201,14 +202,14 @@
       command.evacuated ? config::ChangeKind::kEvacuateZone : config::ChangeKind::kRestoreZone;
   change.zone = command.zone;
   change.expected_revision = server_->state().config().RevisionOf(change);
-  SubmitZoneOrder(std::move(change), loop_->earliest_arrival() + kZoneOrderPatience,
+  SubmitZoneOrder(std::move(change), loop_->earliest_arrival() + kZoneOrderTimeout,
                   std::move(responder));
 }
 
 void ControlProcess::SubmitZoneOrder(config::Change change, Timestamp until,
                                      http::Responder responder) {
   if (net::EventLoop::Now() >= until) {
-    // An order that lay here for long may have been given elsewhere and taken back meanwhile.
+    // The caller may have given a delayed order to another machine and revoked it there.
     LogEvent("zone_order_too_old", {{"zone", change.zone}});
     responder.Send(dialect_->WriteRefusal(
         MakeStatus(ResultCode::kNoQuorum, "the order took too long; give it again")));
--- a/src/server/control_log.cc
+++ b/src/server/control_log.cc
@@ -33,7 +33,7 @@
             {"share", proposal.verdict.share}});
 }
 
-void ControlLog::NoteQuarantine(const config::ConfigState& config) {
+void ControlLog::LogQuarantineChanges(const config::ConfigState& config) {
   const size_t stopped = config.StoppedRequests().size();
   if (stopped != stopped_requests_) {
     stopped_requests_ = stopped;
@@ -54,7 +54,7 @@
                               {"leader", leader_},
                               {"commit_index", raft.commit_index()}});
   }
-  NoteQuarantine(server.state().config());
+  LogQuarantineChanges(server.state().config());
   const bool current = server.IsCurrent(now);
   if (current != current_) {
     current_ = current;
@@ -71,8 +71,8 @@
   }
   const bool reporters_changed =
       discovery.registry().size() != leafs_ || discovery.directory().size() != gateways_;
-  if (reporters_changed && now - reporters_told_ >= kReportersInterval) {
-    reporters_told_ = now;
+  if (reporters_changed && now - reporters_logged_at_ >= kReportersInterval) {
+    reporters_logged_at_ = now;
     leafs_ = discovery.registry().size();
     gateways_ = discovery.directory().size();
     LogEvent("reporters_changed", {{"leafs", leafs_}, {"gateways", gateways_}});
--- a/src/server/control_log.h
+++ b/src/server/control_log.h
@@ -1,4 +1,4 @@
-// What a control machine writes to its log when what it believes changes.
+// Log events of a control machine about changes of its state.
 #pragma once
 
 #include <cstdint>
@@ -10,14 +10,14 @@
 
 class ControlLog {
  public:
-  /// Compares what the machine believes with what it believed at the last call.
+  /// Logs what has changed since the last call.
   void OnState(Timestamp now, const control::ControlServer& server,
                const control::DiscoveryServer& discovery);
-  /// A request is to be stopped or released, and why.
+  /// Logs a proposal to stop or release a request, with its reason.
   static void OnQuarantineProposal(const control::QuarantineProposal& proposal);
 
  private:
-  void NoteQuarantine(const config::ConfigState& config);
+  void LogQuarantineChanges(const config::ConfigState& config);
 
   size_t stopped_requests_ = 0;
   consensus::Role role_ = consensus::Role::kFollower;
@@ -26,9 +26,10 @@
   bool current_ = false;
   size_t members_ = 0;
   size_t voters_ = 0;
-  /// How many report is told this often at most: hundreds come one by one after a start.
+  /// Minimum interval between "reporters_changed" lines, since hundreds of leafs and gateways
+  /// connect one by one after a start.
   static constexpr Duration kReportersInterval = Seconds(1);
-  Timestamp reporters_told_{};
+  Timestamp reporters_logged_at_{};
   size_t leafs_ = 0;
   size_t gateways_ = 0;
 };
--- a/src/server/control_operator_calls.cc
+++ b/src/server/control_operator_calls.cc
@@ -1,5 +1,5 @@
-// The part of ControlProcess that serves operators on the product's own interface: status, changes,
-// the configuration, metrics.
+// The part of ControlProcess that serves operators over the product's own interface: status,
+// changes, the configuration, metrics.
 #include <utility>
 
 #include "common/json.h"
@@ -18,7 +18,7 @@
   return body.is_object() ? body.value("code", 0) : 0;
 }
 
-/// Passes a reply on to an operator who speaks the product's own interface.
+/// Returns a callback that forwards a reply to an operator.
 std::function<void(const control::OperatorReply&)> SendReply(http::Responder responder) {
   return [responder](const control::OperatorReply& reply) mutable {
     responder.Send({InfoOf(static_cast<ResultCode>(CodeOfReply(reply))).http_status, reply.body});
@@ -103,13 +103,14 @@
              static_cast<double>(storage_->log_bytes()));
   page.Gauge("pumicedyke_config_version", "Configuration version applied here.",
              static_cast<double>(server_->state().config().version().value));
-  page.Gauge("pumicedyke_control_sessions", "Nodes that greet this machine.",
+  page.Gauge("pumicedyke_control_sessions", "Nodes that are connected to this machine.",
              static_cast<double>(server_->session_count()));
   page.Gauge("pumicedyke_control_ledger_entries", "Keys in the at-most-once ledger.",
              static_cast<double>(server_->state().ledger().size()));
-  page.Gauge("pumicedyke_control_quarantine", "Requests that are stopped or on parole.",
+  page.Gauge("pumicedyke_control_quarantine",
+             "Requests that are stopped or conditionally released.",
              static_cast<double>(server_->state().config().quarantine().size()));
-  page.Gauge("pumicedyke_control_ended_leafs", "Leafs at which runs were lost, of late.",
+  page.Gauge("pumicedyke_control_ended_leafs", "Leafs that recently lost runs.",
              static_cast<double>(server_->evidence().leafs()));
   page.AddProcess();
   return page.Text();
--- a/src/server/control_process.cc
+++ b/src/server/control_process.cc
@@ -18,11 +18,11 @@
 namespace {
 
 constexpr Duration kTickInterval = Milliseconds(10);
-/// Gateways hear of new and leaving leafs this often at most.
+/// Minimum interval between updates of the leafs to gateways.
 constexpr Duration kLeafFeedInterval = Milliseconds(50);
-/// How often a disk is tried that took no bytes.
+/// Interval between retries of a failed disk.
 constexpr Duration kDiskRetryInterval = Milliseconds(250);
-/// After handing leadership over, a stopping machine stays to answer stragglers.
+/// A stopping machine serves late requests for this long after handing over leadership.
 constexpr Duration kStopGrace = Milliseconds(300);
 
 struct Machine {
@@ -39,8 +39,8 @@
   return machines;
 }
 
-/// The machines that a new cluster starts with. Seeds are named by their address's host.
-std::vector<Machine> FirstMachines(const ControlSettings& settings) {
+/// Returns the initial machines of a new cluster. Seeds are named by the host of their address.
+std::vector<Machine> InitialMachines(const ControlSettings& settings) {
   if (!settings.machines.empty()) {
     return ParseMachines(settings.machines);
   }
@@ -51,19 +51,19 @@
   return machines;
 }
 
-bool IsFirstMachine(const ControlSettings& settings) {
-  const std::vector<Machine> machines = FirstMachines(settings);
+bool IsInitialMachine(const ControlSettings& settings) {
+  const std::vector<Machine> machines = InitialMachines(settings);
   return std::any_of(machines.begin(), machines.end(),
                      [&](const Machine& machine) { return machine.name == settings.machine; });
 }
 
-/// The members of a new cluster get ids that every machine works out alike.
+/// Derives the id of an initial member, so that every machine computes the same ids.
 MemberId FirstMemberId(const std::string& cluster, const std::string& machine) {
   const std::string text = cluster + "/" + machine;
   return XXH64(text.data(), text.size(), 1) | 1;
 }
 
-MemberId FreshMemberId() {
+MemberId RandomMemberId() {
   std::random_device device;
   return (static_cast<uint64_t>(device()) << 32 | device()) | 1;
 }
@@ -105,8 +105,8 @@
   settings.machines = file.List("machines");
   settings.seeds = ReadControlAddresses(&file);
   settings.bootstrap = file.Boolean("bootstrap", false);
-  constexpr int64_t kMostTolerated = 4;
-  const int64_t tolerated = file.Integer("tolerated_failures", 0, 0, kMostTolerated);
+  constexpr int64_t kMaxToleratedFailures = 4;
+  const int64_t tolerated = file.Integer("tolerated_failures", 0, 0, kMaxToleratedFailures);
   settings.voters = tolerated > 0 ? static_cast<size_t>(2 * tolerated + 1) : 0;
   settings.replace_silent_after =
       Milliseconds(file.Integer("replace_silent_after_ms", 0, 0, kMaxMilliseconds));
@@ -136,7 +136,7 @@
     return status;
   }
   wire::SnapshotData initial;
-  for (const Machine& machine : FirstMachines(settings)) {
+  for (const Machine& machine : InitialMachines(settings)) {
     initial.members.push_back({FirstMemberId(settings.cluster, machine.name), machine.name,
                                machine.address, /*voter=*/true});
   }
@@ -165,16 +165,16 @@
   opened.log =
       std::make_unique<storage::LogStorage>(opened.files.get(), storage::LogStorageOptions{});
   absl::StatusOr<wire::Identity> found = opened.log->ReadIdentity();
-  if (absl::IsNotFound(found.status()) && settings_.bootstrap && IsFirstMachine(settings_)) {
+  if (absl::IsNotFound(found.status()) && settings_.bootstrap && IsInitialMachine(settings_)) {
     if (absl::Status status = FormatControl(settings_); !status.ok()) {
       return status;
     }
     found = opened.log->ReadIdentity();
   }
   if (absl::IsNotFound(found.status())) {
-    // A lost disk, or a machine that is new: another incarnation, without a vote until the
-    // leader has taken it in and it has caught up.
-    const wire::Identity fresh{FreshMemberId(), settings_.cluster, settings_.machine};
+    // The disk was lost, or the machine is new. It starts as a new member, without a vote until the
+    // leader has added it and it has caught up.
+    const wire::Identity fresh{RandomMemberId(), settings_.cluster, settings_.machine};
     if (absl::Status status = opened.log->Format(fresh, wire::SnapshotData{}); !status.ok()) {
       return status;
     }
@@ -201,7 +201,7 @@
   control::ControlOptions options;
   options.cluster = settings_.cluster;
   options.address = settings_.listen;
-  for (const Machine& machine : FirstMachines(settings_)) {
+  for (const Machine& machine : InitialMachines(settings_)) {
     options.seeds.push_back(machine.address);
     if (machine.name == settings_.machine) {
       options.address = machine.address;
@@ -221,7 +221,7 @@
     return opened.status();
   }
   if (server_ != nullptr) {
-    // Those who wait for the replica that failed hear that no quorum answered.
+    // Requests pending at the failed replica are answered with "no quorum".
     server_->AbandonPending();
     CarryOut();
   }
--- a/src/server/control_process.h
+++ b/src/server/control_process.h
@@ -1,4 +1,5 @@
-// The control program: a ControlServer behind TCP frames (peers and nodes) and HTTP (operators).
+// The control program: serves a ControlServer over TCP frames (peers and nodes) and HTTP
+// (operators).
 #pragma once
 
 #include <functional>
@@ -26,65 +27,67 @@
 struct ControlSettings {
   std::string cluster;
   std::string machine;
-  /// Where this machine is; gateways of the same zone prefer it.
+  /// Zone of this machine; gateways of the same zone prefer it.
   std::string zone;
   std::string listen;
   std::string operator_listen;
-  /// The zones there are, and where they lie; empty: operators may name any.
+  /// The known zones and their regions; if empty, operators may name any zone.
   RegionMap regions;
-  /// Where leafs and operators come who speak the dialect; empty: none do.
+  /// Listen address for leafs and operators that use the dialect; empty: not served.
   std::string service_listen;
-  /// Where clients ask for gateways; empty: with `service_listen`.
+  /// Listen address for clients' gateway lookups; empty: served at `service_listen`.
   std::string directory_listen;
-  /// How long a client may rely on the gateways it was told.
+  /// How long a client may use the gateway addresses of one lookup.
   Duration directory_time_to_live{};
-  /// A leaf that sent no heartbeat for this long counts as gone.
+  /// A leaf that has sent no heartbeat for this long is removed.
   Duration leaf_silence_limit{};
   std::string operator_token_file;
-  /// Content of that file; empty: operators come over loopback and need none.
+  /// Content of that file; empty: operators connect over loopback and need no token.
   std::string operator_token;
   std::string data_folder;
   std::string port_file;
-  /// "machine=IP:port" of every control machine, this one too.
+  /// "machine=IP:port" of every control machine, including this one.
   std::vector<std::string> machines;
-  /// Instead of `machines`: frame addresses of some control machines. The others join through them.
+  /// Alternative to `machines`: frame addresses of some control machines. The others join through
+  /// them.
   std::vector<std::string> seeds;
-  /// First start of a new cluster: a seed with an empty data folder prepares it itself.
+  /// Set for the first start of a new cluster: a seed formats its empty data folder itself.
   bool bootstrap = false;
-  /// Voters to grow to; zero: as many as `machines`.
+  /// Target number of voters; zero: as many as `machines`.
   size_t voters = 0;
   Duration replace_silent_after{};
-  /// The file these were read from; empty: flags only.
+  /// Path of the settings file; empty: flags only.
   std::string path;
   size_t snapshot_log_bytes = 0;
   Duration election_timeout{};
 };
 
-/// @return the settings, or every error of the file and the flags.
+/// @return the settings, or all errors of the file and the flags.
 absl::StatusOr<ControlSettings> ReadControlSettings(const std::string& path);
 
-/// Prepares an empty data folder of a new cluster; done once on each of its machines.
+/// Formats an empty data folder for a new cluster; run once on each of its machines.
 absl::Status FormatControl(const ControlSettings& settings);
 
 class ControlProcess {
  public:
-  /// @param dialect may be null if nobody speaks one; outlives this object.
+  /// @param dialect null if no dialect is served; must outlive this object.
   ControlProcess(ControlSettings settings, const control::Dialect* dialect, net::EventLoop* loop);
 
-  /// Recovers the data folder and starts listening. A disk that takes no bytes is no failure: the
-  /// process then waits for it in Run() and listens once it does.
+  /// Recovers the data folder and starts listening. A disk that accepts no writes is not an error:
+  /// Run() then retries it and starts listening once it works.
   absl::Status Start();
-  /// Runs until a planned stop is over. While the disk takes no bytes the replica has no part in
-  /// the group; the other duties of the process go on. @return damage of the data folder, if any.
+  /// Runs until a planned stop has completed. While the disk accepts no writes, the replica takes
+  /// no part in the group; all other duties continue. @return an error if the data folder is
+  /// corrupt.
   absl::Status Run();
   void Stop();
-  /// Reads the settings file again; only the seeds may have changed.
+  /// Reloads the settings file; only changes of the seeds take effect.
   void Reload();
 
  private:
   using ReplyCb = std::function<void(const control::OperatorReply&)>;
 
-  /// The data folder, read.
+  /// Content of the data folder.
   struct OpenedStorage {
     std::unique_ptr<storage::PosixFileSystem> files;
     std::unique_ptr<storage::LogStorage> log;
@@ -92,13 +95,13 @@
     storage::RecoveredState recovered;
   };
   absl::StatusOr<OpenedStorage> OpenStorage() const;
-  /// Recovers the data folder and makes the replica on it, in place of one whose disk failed. The
-  /// old replica stays if the disk still fails.
+  /// Recovers the data folder and creates the replica, replacing one whose disk failed. The old
+  /// replica stays if the disk still fails.
   absl::Status OpenReplica(Timestamp now);
   control::ControlOptions ReplicaOptions() const;
-  /// Takes note of a replica that cannot work, and tries again if its disk may come back.
+  /// Logs that the replica cannot work, and retries at intervals if its disk may recover.
   void OnReplicaFailure(Timestamp now, const absl::Status& failure);
-  /// Opens what others connect to.
+  /// Opens the listening sockets.
   absl::Status Listen();
   Timestamp Tick(Timestamp now);
   void CarryOut();
@@ -107,10 +110,10 @@
   void OnFrame(uint64_t session, const wire::Envelope& envelope);
   void OnOperator(const http::HttpRequest& request, http::Responder responder);
   void OnChange(const http::HttpRequest& request, http::Responder responder);
-  /// Answers with the configuration, without API keys.
+  /// Replies with the configuration, without API keys.
   void ReadConfig(Timestamp now, http::Responder responder);
   std::string MetricsText(Timestamp now) const;
-  /// Remembers who waits for a reply. @return the ticket to ask with.
+  /// Registers a callback for a reply. @return the ticket to pass with the request.
   control::TicketId Await(ReplyCb on_reply);
   void CommitLeafs(Timestamp now);
   absl::Status ListenForDialect();
@@ -118,18 +121,18 @@
   void Run(control::PutDocument command, http::Responder responder);
   void Run(const control::GetDocument& command, http::Responder responder);
   void Run(control::ReportLeaf command, http::Responder responder);
-  /// Whether a later life of the leaf has been heard of.
+  /// Whether a later incarnation of the leaf is known.
   bool IsFormerLife(const std::string& leaf, uint64_t born_ms) const;
   void Run(const control::RetireLeaf& command, http::Responder responder);
   void Run(const control::FindGateways& command, http::Responder responder);
   void Run(const control::OrderZone& command, http::Responder responder);
-  /// Submits an order on a zone, based on what is known of the zone; again if that was out of date,
-  /// until `until`: whoever gave the order has turned to another machine by then.
+  /// Submits a zone order against the zone's known revision. Resubmits it if that revision was out
+  /// of date, until `until`: by then the caller has turned to another machine.
   void SubmitZoneOrder(config::Change change, Timestamp until, http::Responder responder);
-  /// Whether operators may name the zone: the settings list it, or a leaf is there.
+  /// Whether operators may name the zone: the settings list it, or it holds a leaf.
   bool KnowsZone(const std::string& zone) const;
-  /// Submits a change; answers with acceptance or the refusal. @param then runs before the answer
-  /// if the change is in force.
+  /// Submits a change and replies with its acceptance or refusal. @param then runs before the reply
+  /// if the change was committed.
   void SubmitFor(const config::Change& change, http::Responder responder,
                  const std::function<void()>& then);
 
@@ -137,11 +140,11 @@
   net::EventLoop* loop_;
   std::unique_ptr<storage::PosixFileSystem> files_;
   std::unique_ptr<storage::LogStorage> storage_;
-  /// Null until the disk has taken bytes for the first time.
+  /// Null until the data folder has been recovered for the first time.
   std::unique_ptr<control::ControlServer> server_;
-  /// When to try a disk again that took no bytes; unset: it works.
+  /// When to retry a failed disk; unset while the disk works.
   std::optional<Timestamp> retry_disk_at_;
-  /// Damage that ends the process.
+  /// The error that ends the process, such as a corrupt data folder.
   absl::Status failure_;
   std::unique_ptr<net::FrameServer> frames_;
   std::unique_ptr<http::HttpServer> http_;
--- a/src/server/gateway_log.cc
+++ b/src/server/gateway_log.cc
@@ -11,12 +11,12 @@
   return XXH64(request_id.data(), request_id.size(), 0) % GatewayLog::kSampledOneIn == 0;
 }
 
-/// Only sub-requests that tell something: those of missing shards and those sent again.
+/// Lists the sub-requests that are not "done", such as those of missing shards, or `all` of them.
 Json AttemptsJson(const std::vector<query::AttemptRecord>& attempts, bool all) {
   Json list = Json::array();
   for (const query::AttemptRecord& attempt : attempts) {
-    const bool telling = all || std::string_view(attempt.state) != "done";
-    if (telling) {
+    const bool included = all || std::string_view(attempt.state) != "done";
+    if (included) {
       list.push_back({{"shard", attempt.shard.value},
                       {"leaf", attempt.leaf},
                       {"sent_ms", ToMilliseconds(attempt.sent)},
@@ -30,8 +30,8 @@
   return duration.has_value() ? Json(ToMilliseconds(*duration)) : Json();
 }
 
-/// Questions to other gateways: all of them, since a failed part is followed from here.
-Json QuestionsJson(const std::vector<query::QuestionRecord>& questions) {
+/// Lists all partial queries to other gateways, since a failed shard is traced from here.
+Json PartialQueriesJson(const std::vector<query::QuestionRecord>& questions) {
   Json list = Json::array();
   for (const query::QuestionRecord& question : questions) {
     list.push_back({{"group", question.group},
@@ -43,13 +43,13 @@
   return list;
 }
 
-/// How many leafs something happened to, and the names of the first few: at thousands of leafs a
-/// line for each would grow as gateways times leafs.
+/// A count of names with the first few of them. One log line for each of thousands of leafs would
+/// grow with the number of gateways times the number of leafs.
 class NameList {
  public:
   void Add(const std::string& name) {
     ++count_;
-    if (names_.size() < kMostNames) {
+    if (names_.size() < kMaxNames) {
       names_.push_back(name);
     }
   }
@@ -57,13 +57,13 @@
   Json ToJson() const { return {{"count", count_}, {"first", names_}}; }
 
  private:
-  static constexpr size_t kMostNames = 4;
+  static constexpr size_t kMaxNames = 4;
   size_t count_ = 0;
   std::vector<std::string> names_;
 };
 
-/// How long before it was decided on an answer that lacks parts was due.
-Json DueBefore(const gateway::RequestTrace& trace) {
+/// Returns how long before its decision an incomplete answer was due.
+Json DueBeforeDecisionJson(const gateway::RequestTrace& trace) {
   return trace.due.has_value() ? OptionalJson(trace.decided - *trace.due) : Json();
 }
 
@@ -108,14 +108,14 @@
                                 {"round_trip_ms", ToMilliseconds(trace.round_trip)},
                                 {"elapsed_ms", ToMilliseconds(trace.elapsed)},
                                 {"written_ms", ToMilliseconds(now - trace.decided)},
-                                {"due_before_ms", DueBefore(trace)},
+                                {"due_before_ms", DueBeforeDecisionJson(trace)},
                                 {"document_version", trace.document_version},
                                 {"config_age_ms", ToMilliseconds(trace.config_age)},
                                 {"retry_after_ms", ToMilliseconds(answer.retry_after)},
                                 {"extra", trace.extra_sub_requests},
                                 {"unpaid", trace.unpaid_shards},
                                 {"missing", MissingJson(trace.missing)},
-                                {"questions", QuestionsJson(trace.questions)},
+                                {"questions", PartialQueriesJson(trace.questions)},
                                 {"attempts", AttemptsJson(trace.attempts, sampled)}});
 }
 
@@ -193,54 +193,54 @@
               {"document_version", document_version_},
               {"config_age_ms", ToMilliseconds(server.ConfigAge(now))}});
   }
-  NoteZones(now, server);
-  NoteQuarantine(now, server);
-  NoteAccounts(now, server);
-  if (changed_leafs_.empty() || now - leafs_looked_at_ < kLeafsInterval) {
+  LogZoneChanges(now, server);
+  LogQuarantineChanges(now, server);
+  LogAccountChanges(now, server);
+  if (changed_leafs_.empty() || now - leafs_logged_at_ < kLeafsInterval) {
     return;
   }
-  leafs_looked_at_ = now;
-  NoteLeafs(server.leafs());
+  leafs_logged_at_ = now;
+  LogLeafChanges(server.leafs());
 }
 
-void GatewayLog::NoteLeafs(const gateway::LeafView& view) {
-  NameList come;
+void GatewayLog::LogLeafChanges(const gateway::LeafView& view) {
+  NameList added;
   NameList leaving;
-  NameList gone;
+  NameList removed;
   for (const std::string& leaf : std::exchange(changed_leafs_, {})) {
     const auto before = leafs_.find(leaf);
     const auto known = view.leafs().find(leaf);
     if (known == view.leafs().end()) {
       if (before != leafs_.end()) {
-        gone.Add(leaf);
+        removed.Add(leaf);
         leafs_.erase(before);
       }
       continue;
     }
     const bool back = before != leafs_.end() && before->second && !known->second.draining;
     if (before == leafs_.end() || back) {
-      come.Add(leaf);
+      added.Add(leaf);
     } else if (before->second != known->second.draining) {
       leaving.Add(leaf);
     }
     leafs_[leaf] = known->second.draining;
   }
-  if (come.count() + leaving.count() + gone.count() > 0) {
+  if (added.count() + leaving.count() + removed.count() > 0) {
     LogEvent("leafs_changed", {{"leafs", view.leafs().size()},
                                {"usable", view.usable_count()},
-                               {"come", come.ToJson()},
+                               {"come", added.ToJson()},
                                {"leaving", leaving.ToJson()},
-                               {"gone", gone.ToJson()}});
+                               {"gone", removed.ToJson()}});
   }
 }
 
-void GatewayLog::NoteAccounts(Timestamp now, const gateway::GatewayServer& server) {
+void GatewayLog::LogAccountChanges(Timestamp now, const gateway::GatewayServer& server) {
   const limits::LimitKeeper& keeper = server.limits().keeper();
-  if (keeper.changes() == account_changes_ || now - accounts_looked_at_ < kLeafsInterval) {
+  if (keeper.changes() == logged_account_changes_ || now - accounts_logged_at_ < kLeafsInterval) {
     return;
   }
-  accounts_looked_at_ = now;
-  account_changes_ = keeper.changes();
+  accounts_logged_at_ = now;
+  logged_account_changes_ = keeper.changes();
   NameList first;
   NameList second;
   NameList settling;
@@ -260,7 +260,7 @@
                               {"config_age_ms", ToMilliseconds(server.ConfigAge(now))}});
 }
 
-void GatewayLog::NoteQuarantine(Timestamp now, const gateway::GatewayServer& server) {
+void GatewayLog::LogQuarantineChanges(Timestamp now, const gateway::GatewayServer& server) {
   if (server.quarantined() == quarantined_) {
     return;
   }
@@ -274,7 +274,7 @@
                                    {"config_age_ms", ToMilliseconds(server.ConfigAge(now))}});
 }
 
-void GatewayLog::NoteZones(Timestamp now, const gateway::GatewayServer& server) {
+void GatewayLog::LogZoneChanges(Timestamp now, const gateway::GatewayServer& server) {
   const std::set<std::string>& evacuated = server.leafs().evacuated();
   if (evacuated == evacuated_) {
     return;
--- a/src/server/gateway_metrics.cc
+++ b/src/server/gateway_metrics.cc
@@ -17,24 +17,24 @@
 
 }  // namespace
 
-RouteCounts* GatewayMetrics::CountsOf(const std::string& route) {
-  const bool counted_apart = routes_.contains(route) || routes_.size() < kMaxRoutes;
-  return &routes_[counted_apart ? route : std::string()];
+RouteCounts* GatewayMetrics::RouteCountsFor(const std::string& route) {
+  const bool has_own_counts = routes_.contains(route) || routes_.size() < kMaxRoutes;
+  return &routes_[has_own_counts ? route : std::string()];
 }
 
 void GatewayMetrics::RecordStep(RouteCounts* counts, const char* step, Duration duration) {
-  counts->steps.try_emplace(step, kStepMemory).first->second.Record(duration);
+  counts->steps.try_emplace(step, kStepHalfLife).first->second.Record(duration);
 }
 
 void GatewayMetrics::OnPartial(const gateway::PartialTrace& partial) {
-  RouteCounts* counts = CountsOf(partial.route);
+  RouteCounts* counts = RouteCountsFor(partial.route);
   RecordStep(counts, "question_wait", partial.waited);
   RecordStep(counts, "merge", partial.elapsed);
 }
 
 void GatewayMetrics::OnAnswer(const gateway::GatewayAnswer& answer) {
   const gateway::RequestTrace& trace = answer.trace;
-  RouteCounts& counts = *CountsOf(trace.route);
+  RouteCounts& counts = *RouteCountsFor(trace.route);
   ++counts.answers[answer.code];
   counts.extra_sub_requests += trace.extra_sub_requests;
   counts.missing_shards += answer.missing_shards;
@@ -61,7 +61,7 @@
 
 void GatewayMetrics::OnAnswerWritten(Timestamp now, const gateway::GatewayAnswer& answer) {
   if (answer.gathered) {
-    RecordStep(CountsOf(answer.trace.route), "write", now - answer.trace.decided);
+    RecordStep(RouteCountsFor(answer.trace.route), "write", now - answer.trace.decided);
   }
 }
 
@@ -69,7 +69,7 @@
   constexpr double kMilliseconds = 1000;
   const auto add = [page](const std::string& route, const std::string& step, const char* quantile,
                           Duration value) {
-    page->Gauge("pumicedyke_gateway_step_seconds", "Where the time of gathered answers goes.",
+    page->Gauge("pumicedyke_gateway_step_seconds", "Durations of the steps of gathered answers.",
                 ToMilliseconds(value) / kMilliseconds,
                 {{"route", route}, {"step", step}, {"quantile", quantile}});
   };
@@ -96,12 +96,13 @@
                    {{"route", route}, {"result", std::string(InfoOf(code).name)}});
     }
   }
-  page.Gauge("pumicedyke_gateway_evacuated_zones", "Zones whose leafs get nothing from here.",
+  page.Gauge("pumicedyke_gateway_evacuated_zones",
+             "Zones whose leafs get no requests from this gateway.",
              static_cast<double>(server.leafs().evacuated().size()));
   page.Gauge("pumicedyke_gateway_quarantined_requests",
-             "Requests that are sent to no leaf, since they end those that run them.",
+             "Requests that are sent to no leaf, since they crash the leafs that run them.",
              static_cast<double>(server.quarantined().size()));
-  page.Gauge("pumicedyke_gateway_cold_leafs", "Leafs that said that they are cold.",
+  page.Gauge("pumicedyke_gateway_cold_leafs", "Leafs that reported that they are cold.",
              static_cast<double>(server.leafs().cold_until().size()));
   for (const auto& [route, counts] : routes_) {
     page.Counter("pumicedyke_gateway_extra_sub_requests_total", "Hedges and retries at leafs.",
@@ -119,11 +120,11 @@
   const gateway::LeafView& view = server.leafs();
   const auto usable = std::count_if(view.leafs().begin(), view.leafs().end(),
                                     [](const auto& item) { return !item.second.draining; });
-  page.Gauge("pumicedyke_gateway_leafs", "Leafs known, those that leave among them.",
+  page.Gauge("pumicedyke_gateway_leafs", "Known leafs, including draining ones.",
              static_cast<double>(view.leafs().size()));
-  page.Gauge("pumicedyke_gateway_leafs_usable", "Leafs that may be sent to.",
+  page.Gauge("pumicedyke_gateway_leafs_usable", "Leafs that may get requests.",
              static_cast<double>(usable));
-  page.Gauge("pumicedyke_gateway_ready", "1 while clients may be sent here.",
+  page.Gauge("pumicedyke_gateway_ready", "1 while this gateway is ready for clients.",
              server.ready() ? 1 : 0);
   page.Gauge("pumicedyke_gateway_in_progress", "Requests in progress.",
              static_cast<double>(server.in_progress()));
@@ -132,17 +133,19 @@
   page.Gauge("pumicedyke_gateway_config_age_seconds",
              "Time since the configuration was last proved current.",
              ToMilliseconds(server.ConfigAge(now)) / 1000.0);
-  page.Gauge("pumicedyke_gateway_keys_proven", "1 while requests with keys may begin.",
+  page.Gauge("pumicedyke_gateway_keys_proven", "1 while requests with keys may start.",
              server.KeysProven(now) ? 1 : 0);
   page.Counter("pumicedyke_gateway_leaf_connections_total", "Connections opened to leafs.",
                static_cast<double>(client.connections_opened()));
-  page.Gauge("pumicedyke_gateway_leaf_requests", "Requests out at leafs.",
+  page.Gauge("pumicedyke_gateway_leaf_requests", "Requests in flight to leafs.",
              static_cast<double>(client.in_flight()));
-  page.Counter("pumicedyke_gateway_clients_gone_total", "Clients that left before their answer.",
+  page.Counter("pumicedyke_gateway_clients_gone_total",
+               "Clients that disconnected before their answer.",
                static_cast<double>(clients_gone_));
-  page.Counter("pumicedyke_gateway_control_lost_total", "Times that a control machine was lost.",
+  page.Counter("pumicedyke_gateway_control_lost_total", "Lost connections to control machines.",
                static_cast<double>(control_lost_));
-  page.Counter("pumicedyke_log_lines_dropped_total", "Log lines that nobody took in time.",
+  page.Counter("pumicedyke_log_lines_dropped_total",
+               "Log lines dropped because standard output did not accept them.",
                static_cast<double>(DroppedLogLines()));
   page.AddProcess();
   return page.Text();
--- a/src/server/gateway_metrics.h
+++ b/src/server/gateway_metrics.h
@@ -1,4 +1,4 @@
-// What a gateway counts for its metrics page. docs/OPERATIONS.md lists the names.
+// Counters of a gateway and its metrics page. docs/OPERATIONS.md lists the names.
 #pragma once
 
 #include <cstdint>
@@ -14,39 +14,39 @@
 
 namespace pumicedyke::server {
 
-/// The counts of one route; requests that met no route are counted under the empty name.
+/// Counters of one route; requests that match no route are counted under the empty name.
 struct RouteCounts {
   std::map<ResultCode, uint64_t> answers;
   uint64_t extra_sub_requests = 0;
   uint64_t missing_shards = 0;
   Histogram latency;
-  /// Where the time of its requests goes, by name of the step (docs/LOGS.md).
+  /// Durations of the steps of its requests, by name of the step (docs/LOGS.md).
   std::map<std::string, RecentDurations> steps;
 };
 
-/// Not thread-safe: one thread counts and reads.
+/// Not thread-safe: must be updated and read on one thread.
 class GatewayMetrics {
  public:
   void OnAnswer(const gateway::GatewayAnswer& answer);
-  /// It had left by `now`.
+  /// @param now time by which the answer was written.
   void OnAnswerWritten(Timestamp now, const gateway::GatewayAnswer& answer);
   void OnPartial(const gateway::PartialTrace& partial);
   void OnClientGone() { ++clients_gone_; }
   void OnControlLost() { ++control_lost_; }
 
-  /// The page in the Prometheus text format. @param now of the gateway's own time line.
+  /// Returns the page in the Prometheus text format. @param now on the gateway's clock.
   std::string Text(Timestamp now, const gateway::GatewayServer& server,
                    const http::HttpClient& client) const;
 
  private:
-  /// Durations after which one counts half in the quantiles of steps.
-  static constexpr double kStepMemory = 64;
+  /// Number of later durations after which a duration has half its weight in the quantiles.
+  static constexpr double kStepHalfLife = 64;
 
-  RouteCounts* CountsOf(const std::string& route);
+  RouteCounts* RouteCountsFor(const std::string& route);
   static void RecordStep(RouteCounts* counts, const char* step, Duration duration);
   void AddSteps(http::MetricsPage* page, const gateway::GatewayServer& server) const;
 
-  /// Routes counted apart; further ones share the empty name, so that memory stays bounded.
+  /// Routes with counters of their own. Further routes share the empty name, to bound memory.
   static constexpr size_t kMaxRoutes = 200;
 
   std::map<std::string, RouteCounts> routes_;
--- a/src/server/gateway_process.cc
+++ b/src/server/gateway_process.cc
@@ -13,12 +13,12 @@
 namespace pumicedyke::server {
 namespace {
 
-/// A sub-request whose result is no longer wanted may end on its connection for this long.
-constexpr Duration kAbandonPatience = Milliseconds(400);
+/// How long an abandoned sub-request may keep its connection to finish.
+constexpr Duration kAbandonTimeout = Milliseconds(400);
 constexpr Duration kStopPoll = Milliseconds(20);
 constexpr uint64_t kIncarnationMask = (uint64_t{1} << 24) - 1;
 
-/// A gateway has no disk: the number of its life is drawn, not counted.
+/// Draws a random incarnation, since a gateway has no disk to count its starts on.
 uint64_t DrawIncarnation() {
   std::random_device device;
   return (device() & kIncarnationMask) | 1;
@@ -43,9 +43,9 @@
   if (!settings.peer_listen.empty() && !IsAddress(settings.peer_listen)) {
     file.AddError("peer_listen", "must be an address like \"127.0.0.1:7500\"");
   }
-  constexpr double kSmallestShare = 0.001;
-  constexpr double kMostCores = 1024;
-  settings.processor_share = file.Number("processor_share", 1, kSmallestShare, kMostCores);
+  constexpr double kMinShare = 0.001;
+  constexpr double kMaxCores = 1024;
+  settings.processor_share = file.Number("processor_share", 1, kMinShare, kMaxCores);
   settings.control = ReadControlAddresses(&file);
   if (settings.control.empty()) {
     file.AddError("control", "must list at least one control machine, or name 'seeds'");
@@ -165,34 +165,34 @@
   if (settings_.peer_listen.empty()) {
     return absl::OkStatus();
   }
-  peer_frames_ = std::make_unique<net::FrameServer>(
+  peer_server_ = std::make_unique<net::FrameServer>(
       loop_,
       [this](uint64_t session, wire::Envelope envelope) {
         OnPeerQuestion(session, std::move(envelope));
       },
       [this](uint64_t session) {
-        questions_.CloseSession(session);
+        partial_queries_.CloseSession(session);
         server_->OnPeerSessionClosed(net::EventLoop::Now(), session);
-        CarryOutSoon();
+        ScheduleDispatch();
       });
-  return peer_frames_->Listen(settings_.peer_listen);
+  return peer_server_->Listen(settings_.peer_listen);
 }
 
 void GatewayProcess::OnPeerQuestion(uint64_t session, wire::Envelope envelope) {
-  CarryOutSoon();
+  ScheduleDispatch();
   if (const auto* cancel = std::get_if<wire::PartialCancel>(&envelope.body)) {
-    if (questions_.Cancel(session, cancel->id)) {
+    if (partial_queries_.Cancel(session, cancel->id)) {
       return;
     }
   }
   gateway::ArrivedQuestion question{session, std::move(envelope), loop_->earliest_arrival()};
-  if (!questions_.Add(&question)) {
+  if (!partial_queries_.Add(&question)) {
     server_->OnPeerQuestion(net::EventLoop::Now(), session, question.envelope, question.arrived);
   }
 }
 
-void GatewayProcess::BeginQuestions() {
-  while (const std::optional<gateway::ArrivedQuestion> question = questions_.Take()) {
+void GatewayProcess::StartPartialQueries() {
+  while (const std::optional<gateway::ArrivedQuestion> question = partial_queries_.Take()) {
     server_->OnPeerQuestion(net::EventLoop::Now(), question->session, question->envelope,
                             question->arrived);
   }
@@ -215,20 +215,20 @@
   }
   server_->Tick(now);
   CarryOut();
-  AdoptLimits();
+  ApplyLimits();
   log_.OnState(now, *server_);
-  if (stop_.started() && stop_.Done(now, server_->Drained() && answers_unnoted_ == 0)) {
+  if (stop_.started() && stop_.Done(now, server_->Drained() && unlogged_answers_ == 0)) {
     loop_->Stop();
   }
   return stop_.started() ? std::min(now + kStopPoll, server_->NextWake(now))
                          : server_->NextWake(now);
 }
 
-void GatewayProcess::AdoptLimits() {
-  if (server_->document_version() == limits_version_) {
+void GatewayProcess::ApplyLimits() {
+  if (server_->document_version() == applied_limits_version_) {
     return;
   }
-  limits_version_ = server_->document_version();
+  applied_limits_version_ = server_->document_version();
   const routing::ClientLimits& limits = server_->table()->set().limits;
   http::HttpServerOptions options;
   options.max_header_bytes = limits.max_header_bytes;
@@ -239,23 +239,23 @@
   http_->SetOptions(options);
 }
 
-void GatewayProcess::CarryOutSoon() {
-  if (!carry_out_due_) {
-    carry_out_due_ = true;
+void GatewayProcess::ScheduleDispatch() {
+  if (!dispatch_scheduled_) {
+    dispatch_scheduled_ = true;
     loop_->Defer([this] { CarryOut(); });
   }
 }
 
 void GatewayProcess::CarryOut() {
-  carry_out_due_ = false;
-  BeginQuestions();
+  dispatch_scheduled_ = false;
+  StartPartialQueries();
   gateway::GatewayOutput output = server_->TakeOutput();
-  // Clients wait for the answers; nobody waits for what is cancelled.
+  // Answers go first, since clients wait for them; no caller waits for cancelled requests.
   for (gateway::GatewayAnswer& answer : output.answers) {
     SendAnswer(std::move(answer));
   }
   for (const gateway::PeerReply& reply : output.peer_replies) {
-    peer_frames_->Send(reply.session, reply.envelope);
+    peer_server_->Send(reply.session, reply.envelope);
   }
   for (const gateway::PeerMessage& message : output.peer_messages) {
     SendToPeer(message);
@@ -270,7 +270,7 @@
   for (const gateway::LeafCancel& cancel : output.cancels) {
     CancelAtLeaf(cancel);
   }
-  WithdrawUnsent(output.closed_leafs);
+  EndUnsentCalls(output.closed_leafs);
   log_.OnLeafChanges(output.leaf_changes);
   for (const std::string& address : output.reconnect) {
     control_.erase(address);
@@ -296,11 +296,11 @@
   waiting->second.Send(std::move(response));
   waiting_.erase(waiting);
   metrics_.OnAnswer(answer);
-  // Once the loop comes round: by then the answer has left, whatever this turn still had to do, and
-  // nobody waits for the log.
-  ++answers_unnoted_;
+  // Logged in the next loop iteration: the answer has been written by then, and logging delays no
+  // caller.
+  ++unlogged_answers_;
   loop_->Defer([this, status, answer = std::move(answer)] {
-    --answers_unnoted_;
+    --unlogged_answers_;
     const Timestamp now = net::EventLoop::Now();
     server_->OnAnswerWritten(now, answer.trace);
     metrics_.OnAnswerWritten(now, answer);
@@ -317,12 +317,12 @@
   const auto on_done = [this, send = std::move(send)](http::ClientResponse response) {
     calls_.erase(send.id);
     server_->OnLeafReply(net::EventLoop::Now(), dialect_->ReadLeafReply(send, std::move(response)));
-    CarryOutSoon();
+    ScheduleDispatch();
   };
   calls_[id] = {client_->Start(std::move(request), on_done), leaf};
 }
 
-void GatewayProcess::WithdrawUnsent(const std::vector<std::string>& leafs) {
+void GatewayProcess::EndUnsentCalls(const std::vector<std::string>& leafs) {
   if (leafs.empty()) {
     return;
   }
@@ -355,16 +355,16 @@
 }
 
 void GatewayProcess::AbandonAtLeaf(SubRequestId id, const LeafCall& call) {
-  // Nobody waits for the result, but what it does to the leaf still has to be known.
+  // The result is not needed, but its effect on the leaf is still recorded.
   gateway::LeafSend send;
   send.id = id;
   send.leaf = call.leaf;
-  const bool goes_on = client_->Abandon(
-      call.call, kAbandonPatience, [this, send = std::move(send)](http::ClientResponse response) {
+  const bool still_running = client_->Abandon(
+      call.call, kAbandonTimeout, [this, send = std::move(send)](http::ClientResponse response) {
         server_->OnAbandonedReply(net::EventLoop::Now(),
                                   dialect_->ReadLeafReply(send, std::move(response)));
       });
-  if (!goes_on) {
+  if (!still_running) {
     server_->OnSendDropped(id);
   }
 }
@@ -377,11 +377,11 @@
         loop_, address,
         [this, address](const wire::Envelope& envelope) {
           server_->OnControlMessage(net::EventLoop::Now(), address, envelope);
-          CarryOutSoon();
+          ScheduleDispatch();
         },
         [this, address] {
           server_->OnControlDisconnected(net::EventLoop::Now(), address);
-          CarryOutSoon();
+          ScheduleDispatch();
         });
   }
   link->Send(message.envelope);
@@ -395,11 +395,11 @@
         loop_, address,
         [this, address](const wire::Envelope& envelope) {
           server_->OnPeerWord(net::EventLoop::Now(), address, envelope);
-          CarryOutSoon();
+          ScheduleDispatch();
         },
         [this, address] {
           server_->OnPeerLost(net::EventLoop::Now(), address);
-          CarryOutSoon();
+          ScheduleDispatch();
         });
   }
   peer->Send(message.envelope);
@@ -424,13 +424,13 @@
     metrics_.OnClientGone();
     log_.OnClientGone(net::EventLoop::Now(), request_id);
     server_->OnClientGone(net::EventLoop::Now(), id);
-    CarryOutSoon();
+    ScheduleDispatch();
   });
   waiting_.emplace(id, std::move(responder));
   server_->OnRequest(net::EventLoop::Now(), id,
                      std::make_shared<const gateway::PayloadRequest>(*std::move(payload)),
                      loop_->earliest_arrival());
-  CarryOutSoon();
+  ScheduleDispatch();
 }
 
 void GatewayProcess::Reload() {
--- a/src/server/gateway_process.h
+++ b/src/server/gateway_process.h
@@ -1,5 +1,5 @@
-// The gateway program: a GatewayServer behind an HTTP front, with HTTP to leafs and frames to the
-// control machines.
+// The gateway program: serves a GatewayServer over HTTP, and connects to leafs over HTTP and to
+// control machines over frames.
 #pragma once
 
 #include <map>
@@ -25,22 +25,23 @@
   std::string cluster;
   std::string node;
   std::string zone;
-  /// Where clients come.
+  /// Listen address for clients.
   std::string listen;
-  /// Where readiness is asked for; empty: with the clients.
+  /// Listen address for readiness probes; empty: served at `listen`.
   std::string ready_listen;
-  /// Where clients ask for gateways; empty: not here. Only where gateways that are gone are taken
-  /// off the clients' list: each one that is asked in vain costs a client a second.
+  /// Listen address for clients' gateway lookups; empty: not served. Set it only where stopped
+  /// gateways are removed from the clients' list, since each attempt to reach one costs a client a
+  /// second.
   std::string directory_listen;
-  /// How long a client may rely on the gateways it was told.
+  /// How long a client may use the gateway addresses of one lookup.
   Duration directory_time_to_live{};
-  /// Where the metrics page is served; empty: nowhere.
+  /// Listen address of the metrics page; empty: not served.
   std::string metrics_listen;
-  /// Where other gateways reach this one; empty: it works alone.
+  /// Listen address for other gateways; empty: this gateway works alone.
   std::string peer_listen;
-  /// Where each zone lies.
+  /// The region of each zone.
   RegionMap regions;
-  /// Cores that this process may use.
+  /// Number of cores that this process may use.
   double processor_share = 1;
   /// Frame addresses of control machines.
   std::vector<std::string> control;
@@ -48,7 +49,7 @@
   admission::EntryOptions entry;
   Duration drain_grace{};
   std::string port_file;
-  /// The file these were read from; empty: flags only.
+  /// Path of the settings file; empty: flags only.
   std::string path;
 };
 
@@ -56,13 +57,13 @@
 
 class GatewayProcess {
  public:
-  /// @param dialect outlives this object.
+  /// @param dialect must outlive this object.
   GatewayProcess(GatewaySettings settings, const gateway::Dialect* dialect, net::EventLoop* loop);
 
   absl::Status Start();
   void Run();
   void Stop();
-  /// Reads the settings file again; only the control machines may have changed.
+  /// Reloads the settings file; only changes of the control machines take effect.
   void Reload();
 
  private:
@@ -72,15 +73,15 @@
   };
   Timestamp Tick(Timestamp now);
   void CarryOut();
-  /// Carries out what is ready once the current event is dealt with.
-  void CarryOutSoon();
+  /// Dispatches output after the current event has been handled.
+  void ScheduleDispatch();
   void SendAnswer(gateway::GatewayAnswer answer);
   void SendToLeaf(gateway::LeafSend send);
   void CancelAtLeaf(const gateway::LeafCancel& cancel);
-  /// Leaves the leaf to finish, so that the connection lives on.
+  /// Abandons a call but lets the leaf finish it, so that the connection stays usable.
   void AbandonAtLeaf(SubRequestId id, const LeafCall& call);
-  /// Ends calls to these leafs that wait for a connection.
-  void WithdrawUnsent(const std::vector<std::string>& leafs);
+  /// Ends the calls to these leafs that still wait for a connection.
+  void EndUnsentCalls(const std::vector<std::string>& leafs);
   void SendToControl(const gateway::ControlMessage& message);
   void SendToPeer(const gateway::PeerMessage& message);
   absl::Status ListenForPeers();
@@ -88,10 +89,10 @@
   absl::Status ListenForMetrics();
   absl::Status ListenForDirectory();
   void OnPeerQuestion(uint64_t session, wire::Envelope envelope);
-  /// The questions of this turn, the more urgent first.
-  void BeginQuestions();
+  /// Starts the partial queries of this loop iteration, the most urgent first.
+  void StartPartialQueries();
   void OnLinkChange(const gateway::ControlLinkChange& change);
-  void AdoptLimits();
+  void ApplyLimits();
 
   GatewaySettings settings_;
   const gateway::Dialect* dialect_;
@@ -101,17 +102,18 @@
   std::unique_ptr<http::HttpServer> ready_http_;
   std::unique_ptr<http::HttpClient> client_;
   std::map<std::string, std::unique_ptr<net::FrameClient>> control_;
-  /// Questions of other gateways, and connections to those asked, by address.
-  std::unique_ptr<net::FrameServer> peer_frames_;
+  /// Serves partial queries of other gateways.
+  std::unique_ptr<net::FrameServer> peer_server_;
+  /// Connections to other gateways, by address.
   std::map<std::string, std::unique_ptr<net::FrameClient>> peers_;
-  gateway::QuestionQueue questions_;
+  gateway::QuestionQueue partial_queries_;
   std::map<RequestId, http::Responder> waiting_;
   std::map<SubRequestId, LeafCall> calls_;
-  /// Answers that were sent and are not in the log and the metrics yet.
-  size_t answers_unnoted_ = 0;
+  /// Number of sent answers that are not logged yet.
+  size_t unlogged_answers_ = 0;
   uint64_t next_request_ = 1;
-  uint64_t limits_version_ = 0;
-  bool carry_out_due_ = false;
+  uint64_t applied_limits_version_ = 0;
+  bool dispatch_scheduled_ = false;
   GatewayLog log_;
   GatewayMetrics metrics_;
   std::unique_ptr<http::HttpServer> metrics_http_;
--- a/src/server/graceful_stop.cc
+++ b/src/server/graceful_stop.cc
@@ -5,10 +5,11 @@
 namespace pumicedyke::server {
 namespace {
 
-/// A tick this late means that the process stood still: callers may have connected meanwhile.
-constexpr Duration kSuspended = Milliseconds(250);
-/// Idle connections that their callers keep open are closed this long after the grace time.
-constexpr Duration kIdleConnections = Milliseconds(500);
+/// A tick this late means that the process was paused. Callers may have connected in that time, so
+/// the grace period starts again.
+constexpr Duration kSuspensionThreshold = Milliseconds(250);
+/// Idle connections that callers keep open are closed this long after the grace period.
+constexpr Duration kIdleConnectionTimeout = Milliseconds(500);
 
 }  // namespace
 
@@ -20,7 +21,7 @@
 }
 
 bool GracefulStop::Done(Timestamp now, bool idle) {
-  if (now - last_tick_ > kSuspended) {
+  if (now - last_tick_ > kSuspensionThreshold) {
     grace_end_ = std::max(grace_end_, now + grace_);
   }
   last_tick_ = now;
@@ -28,7 +29,7 @@
     return false;
   }
   http_->StopListening();
-  const bool no_callers = http_->connections() == 0 || now >= grace_end_ + kIdleConnections;
+  const bool no_callers = http_->connections() == 0 || now >= grace_end_ + kIdleConnectionTimeout;
   return idle && no_callers && http_->in_flight() == 0;
 }
 
--- a/src/server/graceful_stop.h
+++ b/src/server/graceful_stop.h
@@ -1,6 +1,6 @@
-// The order of a planned stop: serve on for a grace time while answers tell callers to go
-// elsewhere, then accept no more connections, then wait for what is under way. Brief: a planned
-// stop interrupts no request in flight.
+// Sequence of a planned stop. The process first serves for a grace period in which its answers send
+// callers elsewhere, then accepts no more connections, then waits for requests in flight. No
+// request is interrupted.
 #pragma once
 
 #include "common/types.h"
@@ -15,8 +15,8 @@
   void Start(Timestamp now, http::HttpServer* http);
   bool started() const { return http_ != nullptr; }
 
-  /// Call on every tick once started.
-  /// @param idle whether nothing admitted waits for an answer.
+  /// Must be called on every tick after Start().
+  /// @param idle whether no admitted request waits for an answer.
   /// @return true when the process may exit.
   bool Done(Timestamp now, bool idle);
 
--- a/src/server/leaf_process.h
+++ b/src/server/leaf_process.h
@@ -1,4 +1,4 @@
-// Stand-in for a back end: a LeafModel behind HTTP. Not part of the product.
+// Test back end: serves a LeafModel over HTTP. Not part of the product.
 #pragma once
 
 #include <map>
@@ -20,7 +20,7 @@
   void Stop();
 
  private:
-  /// Long enough for nodes to read the health report that says "draining".
+  /// Long enough for nodes to poll the health report that says "draining".
   static constexpr Duration kStopGrace = Milliseconds(1500);
 
   void OnHttp(const http::HttpRequest& request, http::Responder responder);
--- a/src/server/node_process.cc
+++ b/src/server/node_process.cc
@@ -17,7 +17,8 @@
 namespace pumicedyke::server {
 namespace {
 
-/// What is asked for, and by whom. Which attempt it is, its deadline and its key don't matter.
+/// Identifies a request by its content and its caller. The attempt, the deadline and the
+/// idempotency key are not part of it.
 RequestIdentity IdentityOf(const query::CallerRequest& request, const std::string& caller) {
   std::string shards;
   for (const ShardId& shard : request.shards) {
@@ -30,8 +31,8 @@
 constexpr Duration kHealthInterval = Milliseconds(1000);
 constexpr Duration kPlatformInterval = Milliseconds(1000);
 constexpr Duration kProbeTimeout = Milliseconds(800);
-constexpr Duration kFirstReportPatience = Seconds(5);
-/// Beyond its deadline a sub-request's connection is kept this long for the reply.
+constexpr Duration kFirstReportTimeout = Seconds(5);
+/// How long past the deadline of a sub-request its reply is awaited.
 constexpr Duration kLateReply = Seconds(2);
 
 query::LeafReply FailedReply(const query::LeafRequest& request, bool not_sent) {
@@ -97,7 +98,7 @@
   options.seed = *incarnation;
   options.max_config_age = settings_.max_config_age;
   options.wait_for_platform = !settings_.platform.empty();
-  options.knobs.first_report_patience = kFirstReportPatience;
+  options.knobs.first_report_patience = kFirstReportTimeout;
   options.max_in_progress = static_cast<size_t>(settings_.max_in_progress);
   server_ = std::make_unique<node::NodeServer>(options, net::EventLoop::Now());
   client_ = std::make_unique<http::HttpClient>(
@@ -173,7 +174,8 @@
   call.unrepeatable = !request.repeatable;
   client_->Start(call, [this, request](const http::ClientResponse& response) {
     absl::StatusOr<query::LeafReply> reply = query::LeafReplyFromJson(response.body);
-    // Whatever cannot be read may have run; only an unmade connection proves that it did not.
+    // An unreadable reply may belong to a request that ran. Only a connection that was never
+    // established proves that the request did not run.
     const bool usable =
         response.ok() && reply.ok() && reply->id == request.id && reply->origin == request.origin;
     if (!usable) {
@@ -187,7 +189,7 @@
 }
 
 void NodeProcess::CancelAtLeaf(const query::SubRequestCancel& cancel) {
-  // The exchange itself goes on, so that its connection stays warm; the leaf answers it early.
+  // The call itself is not ended, so that its connection stays open; the leaf answers it early.
   http::ClientRequest call;
   call.address = LeafAddress(cancel.leaf);
   if (call.address.empty()) {
@@ -233,10 +235,10 @@
   if (request.path == "/v1/query" && request.method == "POST") {
     OnQuery(request, std::move(responder));
   } else if (request.path == "/healthz") {
-    const bool well = server_->Ready(now) && !stop_.started();
-    responder.Send({well ? 200 : 503,
+    const bool healthy = server_->Ready(now) && !stop_.started();
+    responder.Send({healthy ? 200 : 503,
                     stop_.started() ? "stopping\n"
-                    : well          ? "ok\n"
+                    : healthy       ? "ok\n"
                                     : "starting\n",
                     "text/plain"});
   } else if (request.path == "/metrics") {
@@ -264,7 +266,7 @@
 }
 
 void NodeProcess::PollHealth(Timestamp now) {
-  // Leafs that the configuration just named are asked at once.
+  // Leafs of a new configuration are polled immediately.
   const uint64_t version = server_->config().version().value;
   if (now < next_health_ && version == health_version_) {
     return;
@@ -305,7 +307,7 @@
   client_->Start(call, [this](const http::ClientResponse& response) {
     platform_call_ = false;
     if (!response.ok()) {
-      return;  // The last list that was read stays in force.
+      return;  // The last list that was read remains in use.
     }
     const absl::StatusOr<std::set<std::string>> leaving = node::ReadPlatformList(response.body);
     if (leaving.ok()) {
@@ -335,7 +337,7 @@
   };
   count("requests", "Callers' requests.", counters.requests);
   count("answered_ok", "Answers that cover every shard.", counters.answered_ok);
-  count("answered_partial", "Answers that cover what the policy asks for.",
+  count("answered_partial", "Answers that cover only what the policy requires.",
         counters.answered_partial);
   count("refused", "Refusals and failures.", counters.refused);
   count("sub_requests", "Sub-requests sent to leafs.", counters.sub_requests);
@@ -348,10 +350,11 @@
              static_cast<double>(server_->in_progress()));
   page.Gauge("pumicedyke_config_version", "Configuration version in force.",
              static_cast<double>(server_->config().version().value));
-  page.Gauge("pumicedyke_config_age_seconds", "Time since a current control machine vouched.",
+  page.Gauge("pumicedyke_config_age_seconds",
+             "Time since a control machine last confirmed the configuration.",
              ToMilliseconds(server_->ConfigAge(now)) / 1000.0);
   for (const std::string& leaf : server_->pool().Names()) {
-    page.Gauge("pumicedyke_leaf_limit", "Requests this node may have out at the leaf.",
+    page.Gauge("pumicedyke_leaf_limit", "Requests this node may have in flight at the leaf.",
                server_->pool().Limit(leaf), {{"leaf", leaf}});
   }
   page.AddProcess();
--- a/src/server/node_process.h
+++ b/src/server/node_process.h
@@ -1,5 +1,5 @@
-// The node program: a NodeServer behind an HTTP front, with HTTP to leafs and the platform's list,
-// and frames to one control machine.
+// The node program: serves a NodeServer over HTTP, and connects to leafs and the platform's list of
+// machines over HTTP and to one control machine over frames.
 #pragma once
 
 #include <map>
@@ -25,7 +25,7 @@
   std::string data_folder;
   std::string port_file;
   std::vector<std::string> control;
-  /// Address of the platform's list of machines; empty: none is asked.
+  /// Address of the platform's list of machines; empty: not polled.
   std::string platform;
   int64_t max_connections_per_leaf = 0;
   int64_t max_in_progress = 0;
--- a/src/server/process.cc
+++ b/src/server/process.cc
@@ -26,10 +26,10 @@
 
 std::vector<std::string> ReadControlAddresses(Settings* settings) {
   constexpr int64_t kDefaultPort = 7100;
-  constexpr int64_t kHighestPort = 65535;
+  constexpr int64_t kMaxPort = 65535;
   std::vector<std::string> addresses = settings->AddressList("control");
   const std::vector<std::string> seeds = settings->AddressList("seeds");
-  const int64_t port = settings->Integer("internal_port", kDefaultPort, 1, kHighestPort);
+  const int64_t port = settings->Integer("internal_port", kDefaultPort, 1, kMaxPort);
   for (const std::string& seed : seeds) {
     addresses.push_back(seed.substr(0, seed.rfind(':')) + ":" + std::to_string(port));
   }
@@ -58,13 +58,14 @@
 }
 
 void InstallSignals(net::EventLoop* loop, std::function<void()> stop) {
-  auto asked = std::make_shared<bool>(false);
-  auto on_stop = [asked, stop = std::move(stop)] {
-    if (*asked) {
-      LogError("stopped_twice", {{"what", "a second signal came before the planned stop ended"}});
+  auto stop_requested = std::make_shared<bool>(false);
+  auto on_stop = [stop_requested, stop = std::move(stop)] {
+    if (*stop_requested) {
+      LogError("stopped_twice",
+               {{"what", "received a second signal before the planned stop completed"}});
       std::_Exit(static_cast<int>(ExitCode::kFailed));
     }
-    *asked = true;
+    *stop_requested = true;
     stop();
   };
   loop->OnSignal(SIGTERM, on_stop);
--- a/src/server/process.h
+++ b/src/server/process.h
@@ -1,4 +1,4 @@
-// What every process does alike: flags, settings, logs, signals, exit codes.
+// Functions shared by all processes: flags, settings, signals, exit codes.
 #pragma once
 
 #include <functional>
@@ -25,34 +25,35 @@
   kRefused = 5,
 };
 
-/// @return `flag`, or else the path in the environment variable PUMICEDYKE_CONFIG, or nothing.
+/// @return `flag`, or the path in the environment variable PUMICEDYKE_CONFIG, or an empty path.
 std::string SettingsPath(const std::string& flag);
 
-/// Reads where the control machines listen for frames: `control` lists addresses; `seeds` lists any
-/// addresses of control machines, whose frame port is `internal_port`.
+/// Reads the frame addresses of the control machines. `control` lists them; `seeds` lists control
+/// machines by addresses with any port, and their frame port is `internal_port`.
 std::vector<std::string> ReadControlAddresses(Settings* settings);
 
 /// Reads `regions`: "zone=region" of every zone.
 RegionMap ReadRegions(Settings* settings);
 
-/// Prints a status to standard error. @return the exit code that fits.
+/// Prints a status to standard error. @return the matching exit code.
 int ReportFailure(const std::string& process, const absl::Status& status);
 
-/// SIGTERM and SIGINT call `stop`, a second one ends the process.
+/// Calls `stop` on the first SIGTERM or SIGINT; the second one ends the process.
 void InstallSignals(net::EventLoop* loop, std::function<void()> stop);
 
-/// Writes "name port" lines that test fleets read, replacing the file at once; no path, no file.
+/// Writes the "name port" lines that test fleets read, replacing the file atomically. Does nothing
+/// if `path` is empty.
 absl::Status WritePortFile(const std::string& path, const std::string& text);
 
-/// An error as callers and operators see it.
+/// Builds the error response sent to callers and operators.
 http::HttpResponse ErrorResponse(ResultCode code, const std::string& message);
 
-/// @return false, and answers, unless the request carries "Bearer <token>"; an empty token asks
-/// for none.
+/// Responds with an error and returns false unless the request carries "Bearer <token>". Any
+/// request is authorized if `token` is empty.
 bool Authorized(const std::string& token, const http::HttpRequest& request,
                 http::Responder* responder);
 
-/// Reads a token file; it is needed unless `address` is on loopback.
+/// Reads a token file, which is required unless `address` is on loopback.
 absl::StatusOr<std::string> ReadOperatorToken(const std::string& path, const std::string& address);
 
 }  // namespace pumicedyke::server
--- a/src/server/settings_watch.cc
+++ b/src/server/settings_watch.cc
@@ -7,14 +7,14 @@
 namespace pumicedyke::server {
 namespace {
 
-constexpr Duration kLookInterval = Seconds(2);
+constexpr Duration kCheckInterval = Seconds(2);
 constexpr int64_t kNanosecondsPerSecond = 1000000000;
 
 }  // namespace
 
-SettingsWatch::SettingsWatch(std::string path) : path_(std::move(path)), seen_(Look()) {}
+SettingsWatch::SettingsWatch(std::string path) : path_(std::move(path)), seen_(ReadVersion()) {}
 
-SettingsWatch::Version SettingsWatch::Look() const {
+SettingsWatch::Version SettingsWatch::ReadVersion() const {
   struct stat status {};
   if (::stat(path_.c_str(), &status) != 0) {
     return {};
@@ -24,11 +24,11 @@
 }
 
 bool SettingsWatch::Changed(Timestamp now) {
-  if (!forced_ && now < next_look_) {
+  if (!forced_ && now < next_check_) {
     return false;
   }
-  next_look_ = now + kLookInterval;
-  const Version version = Look();
+  next_check_ = now + kCheckInterval;
+  const Version version = ReadVersion();
   return std::exchange(forced_, false) | (std::exchange(seen_, version) != version);
 }
 
--- a/src/server/settings_watch.h
+++ b/src/server/settings_watch.h
@@ -1,4 +1,4 @@
-// Notices that a settings file has changed, with or without a signal.
+// Detects changes of a settings file by polling it; Force() reports a change at once.
 #pragma once
 
 #include <sys/types.h>
@@ -13,9 +13,9 @@
  public:
   explicit SettingsWatch(std::string path);
 
-  /// Looks at the file now and then. @return whether it should be read again.
+  /// Checks the file at intervals. @return whether it should be reloaded.
   bool Changed(Timestamp now);
-  /// The next Changed() says yes.
+  /// Makes the next Changed() return true.
   void Force() { forced_ = true; }
 
  private:
@@ -25,11 +25,11 @@
     off_t size = 0;
     bool operator==(const Version&) const = default;
   };
-  Version Look() const;
+  Version ReadVersion() const;
 
   std::string path_;
   Version seen_;
-  Timestamp next_look_{};
+  Timestamp next_check_{};
   bool forced_ = false;
 };
 
--- a/test/server/config_view_test.cc
+++ b/test/server/config_view_test.cc
@@ -1,4 +1,4 @@
-// What operators are shown of a configuration: no key.
+// Tests that operators are shown a configuration without its API keys.
 #include "server/config_view.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -13,7 +13,7 @@
   CPPUNIT_TEST_SUITE(ConfigViewTest);
   CPPUNIT_TEST(TenantsAreShownWithoutKeys);
   CPPUNIT_TEST(UnreadableDocumentsAreNotShown);
-  CPPUNIT_TEST(OtherAnswersStayAsTheyAre);
+  CPPUNIT_TEST(OtherTextsAreReturnedUnchanged);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -43,7 +43,7 @@
          "regions":["west"]},
         {"name":"plain","keys":1,"priority":null,"requests_per_second":0.0,"burst":0.0,
          "regions":[]}])"));
-    // All else is there as before.
+    // All other fields are unchanged.
     const Json before = Json::parse(state);
     for (const auto& [field, value] : before.items()) {
       CPPUNIT_ASSERT_MESSAGE(field, field == "document" || json[field] == value);
@@ -62,7 +62,7 @@
     }
   }
 
-  void OtherAnswersStayAsTheyAre() {
+  void OtherTextsAreReturnedUnchanged() {
     for (const char* text : {"", "no JSON", R"({"code":204})", "[1]"}) {
       CPPUNIT_ASSERT_EQUAL(std::string(text), ViewOfConfig(text, nullptr));
     }
--- a/test/server/gateway_metrics_test.cc
+++ b/test/server/gateway_metrics_test.cc
@@ -12,11 +12,11 @@
 
 class GatewayMetricsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(GatewayMetricsTest);
-  CPPUNIT_TEST(StepsAreToldByRouteAndQuantile);
+  CPPUNIT_TEST(StepsAreReportedByRouteAndQuantile);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void StepsAreToldByRouteAndQuantile() {
+  void StepsAreReportedByRouteAndQuantile() {
     net::EventLoop loop;
     const http::HttpClient client(&loop, {});
     const gateway::GatewayHarness h;
