--- a/test/platform/dialect_test.cc
+++ b/test/platform/dialect_test.cc
@@ -1,5 +1,5 @@
-// The adapter's translations in tables: what the platform's callers send and what they get, good
-// and bad.
+// Table-driven tests of the platform dialects, with valid and invalid requests, replies and
+// documents.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "common/json.h"
@@ -50,13 +50,13 @@
 
 class DialectTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(DialectTest);
-  CPPUNIT_TEST(DocumentIsReadWhole);
-  CPPUNIT_TEST(HomesAndWarmUpAreRead);
+  CPPUNIT_TEST(DocumentIsParsed);
+  CPPUNIT_TEST(AllowedRegionsAndWarmUpAreRead);
   CPPUNIT_TEST(BadDocumentsAreRefused);
   CPPUNIT_TEST(ClientRequestsAreRead);
-  CPPUNIT_TEST(RequestsAreNamedByWhatTheyAskForAndForWhom);
-  CPPUNIT_TEST(LeafRequestCarriesWhatItMust);
-  CPPUNIT_TEST(LeafAnswersAreUnderstood);
+  CPPUNIT_TEST(IdentityCoversContentAndCaller);
+  CPPUNIT_TEST(LeafRequestCarriesRequiredHeaders);
+  CPPUNIT_TEST(LeafRepliesAreClassified);
   CPPUNIT_TEST(AnswersAreWritten);
   CPPUNIT_TEST(CommandsAreRead);
   CPPUNIT_TEST(BadCommandsAreRefused);
@@ -64,7 +64,7 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void DocumentIsReadWhole() {
+  void DocumentIsParsed() {
     const auto set = RouteDocumentReader().Read(Document().dump());
     CPPUNIT_ASSERT(set.ok());
     CPPUNIT_ASSERT(routing::Validate(*set).ok());
@@ -80,7 +80,7 @@
     CPPUNIT_ASSERT(set->limits.idle_timeout == Seconds(15));
   }
 
-  void HomesAndWarmUpAreRead() {
+  void AllowedRegionsAndWarmUpAreRead() {
     Json document = Document();
     document["routes"][0]["allowed_regions"] = {"west", "east"};
     document["backends"][0]["warmup_s"] = 3.5;
@@ -100,9 +100,9 @@
                         {"backends", "warmup_s", -1},
                         {"backends", "warmup_per_s", -1}};
     for (const Case& item : bad) {
-      Json spoiled = Document();
-      spoiled[item.list][0][item.field] = item.value;
-      const auto refused = RouteDocumentReader().Read(spoiled.dump());
+      Json invalid = Document();
+      invalid[item.list][0][item.field] = item.value;
+      const auto refused = RouteDocumentReader().Read(invalid.dump());
       CPPUNIT_ASSERT_MESSAGE(item.field, !refused.ok());
       CPPUNIT_ASSERT_MESSAGE(item.field,
                              refused.status().message().find(item.field) != std::string::npos);
@@ -179,19 +179,19 @@
     };
     for (const Case& bad : {Case{"X-Request-Id", ""}, Case{"Host", ""},
                             Case{"X-Deadline-Ms", "soon"}, Case{"X-Deadline-Ms", "-1"}}) {
-      http::Headers spoiled = ClientHeaders();
-      for (http::Header& header : spoiled) {
+      http::Headers invalid = ClientHeaders();
+      for (http::Header& header : invalid) {
         if (header.name == bad.name) {
           header.value = bad.value;
         }
       }
-      const auto refused = dialect.ReadRequest(Request("GET", "/x/1", "", spoiled));
+      const auto refused = dialect.ReadRequest(Request("GET", "/x/1", "", invalid));
       CPPUNIT_ASSERT_MESSAGE(bad.name, !refused.ok());
       CPPUNIT_ASSERT_EQUAL(400, dialect.WriteRefusal(refused.status()).status);
     }
   }
 
-  void RequestsAreNamedByWhatTheyAskForAndForWhom() {
+  void IdentityCoversContentAndCaller() {
     const GatewayDialect dialect;
     const auto name = [&dialect](const std::string& path, const std::string& body,
                                  const http::Header& header) {
@@ -205,7 +205,7 @@
     CPPUNIT_ASSERT(identity != name("/x/1?q=3", "body", caller));
     CPPUNIT_ASSERT(identity != name("/x/1?q=2", "other", caller));
     CPPUNIT_ASSERT(identity != name("/x/1?q=2", "body", {"Authorization", "Bearer b"}));
-    // Another attempt at the same request.
+    // Another attempt at the same request has the same identity.
     http::Headers again = ClientHeaders();
     again.push_back(caller);
     for (http::Header& header : again) {
@@ -217,7 +217,7 @@
                    dialect.ReadRequest(Request("POST", "/x/1?q=2", "body", again))->identity);
   }
 
-  void LeafRequestCarriesWhatItMust() {
+  void LeafRequestCarriesRequiredHeaders() {
     const GatewayDialect dialect;
     auto request = std::make_shared<gateway::PayloadRequest>(
         *dialect.ReadRequest(Request("POST", "/x/1", "body", ClientHeaders())));
@@ -239,7 +239,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("9c41"), call.expected_echo);
   }
 
-  void LeafAnswersAreUnderstood() {
+  void LeafRepliesAreClassified() {
     using query::LeafStatus;
     struct Case {
       const char* what;
@@ -257,7 +257,7 @@
         {"its deadline", 504, {signature}, false, LeafStatus::kFailed, true},
         {"full", 503, {{"X-Not-Executed", "1"}}, false, LeafStatus::kShed, false},
         {"shed", 429, {{"X-Not-Executed", "1"}}, false, LeafStatus::kShed, false},
-        {"not its own word", 503, {}, false, LeafStatus::kFailed, false},
+        {"failure without signature", 503, {}, false, LeafStatus::kFailed, false},
         {"another leaf", 421, {{"X-Instance-Id", "i-8"}}, false, LeafStatus::kDraining, false},
         {"connection broke", 0, {}, false, LeafStatus::kFailed, false},
         {"never connected", 0, {}, true, LeafStatus::kNotSent, false},
@@ -349,12 +349,12 @@
     CPPUNIT_ASSERT(std::get<control::OrderZone>(*start).evacuated);
     const auto stop = dialect.ReadCommand(Request("POST", "/v1/evacuate/hall-1/stop"));
     CPPUNIT_ASSERT(!std::get<control::OrderZone>(*stop).evacuated);
-    const auto beat = dialect.ReadCommand(
+    const auto heartbeat = dialect.ReadCommand(
         Request("POST", "/v1/instances/i-7/heartbeat",
                 R"({"backend":"s1","address":"10.0.0.9:80","zone":"north","version":"v1","slots":2,
                     "state":"draining","cold_left_ms":30,"seq":4})"));
-    CPPUNIT_ASSERT(beat.ok());
-    const registry::LeafReport& report = std::get<control::ReportLeaf>(*beat).report;
+    CPPUNIT_ASSERT(heartbeat.ok());
+    const registry::LeafReport& report = std::get<control::ReportLeaf>(*heartbeat).report;
     CPPUNIT_ASSERT_EQUAL(std::string("i-7"), report.record.leaf);
     CPPUNIT_ASSERT(report.record.draining);
     CPPUNIT_ASSERT_EQUAL(uint64_t{4}, report.sequence);
--- a/test/platform/fatal_request_test.cc
+++ b/test/platform/fatal_request_test.cc
@@ -1,5 +1,5 @@
-// A request that ends every leaf that begins to run it is stopped by the whole fleet, and nothing
-// else is: on real processes.
+// Tests on real processes that all gateways stop a request that crashes every leaf that runs it,
+// and that they stop no other request.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <memory>
@@ -19,7 +19,7 @@
 constexpr int kShards = 4;
 constexpr int kReplicas = 2;
 
-bool EndsLeafs(const http::HttpRequest& request) {
+bool CrashesLeafs(const http::HttpRequest& request) {
   const std::string* caller = http::FindHeader(request.headers, kCallerHeader);
   const bool fatal_path = request.path.find("fatal") != std::string::npos;
   return fatal_path && caller != nullptr && *caller == kFatalCaller;
@@ -54,52 +54,53 @@
       .dump();
 }
 
-/// Three gateways over leafs that a certain request ends.
-class MortalFleet {
+/// Three gateways with leafs that crash on a fatal request.
+class CrashingFleet {
  public:
-  MortalFleet() {
-    gateways_ = {fleet_.gateway_address(), fleet_.StartFurtherGateway("gateway3"),
-                 fleet_.StartFurtherGateway("gateway4")};
+  CrashingFleet() {
+    gateways_ = {fleet_.gateway_address(), fleet_.StartAdditionalGateway("gateway3"),
+                 fleet_.StartAdditionalGateway("gateway4")};
     for (int i = 0; i < kShards * kReplicas; ++i) {
-      leafs_.push_back(std::make_unique<MortalLeaf>("leaf" + std::to_string(i),
-                                                    ServiceName(i % kShards), EndsLeafs));
+      leafs_.push_back(std::make_unique<CrashingLeaf>("leaf" + std::to_string(i),
+                                                      ServiceName(i % kShards), CrashesLeafs));
     }
     CPPUNIT_ASSERT_EQUAL(200, fleet_.Put(Document()));
     for (const std::string& gateway : gateways_) {
-      WaitWhole(gateway);
+      WaitForAllShards(gateway);
     }
   }
 
-  void Beat() {
+  void SendHeartbeats() {
     for (const auto& leaf : leafs_) {
-      leaf->Beat(fleet_.ServiceAddress(0));
+      leaf->SendHeartbeat(fleet_.ServiceAddress(0));
     }
   }
-  void WaitWhole(const std::string& gateway) {
+  void WaitForAllShards(const std::string& gateway) {
     e2e::WaitFor("all shards at " + gateway, [&] {
-      Beat();
-      const http::ClientResponse response = AskAs("Bearer alice", gateway, "/all/usual");
+      SendHeartbeats();
+      const http::ClientResponse response = SendRequestAs("Bearer alice", gateway, "/all/usual");
       const std::string* missing = http::FindHeader(response.headers, "X-Missing-Parts");
       return response.status == 200 && missing != nullptr && *missing == "0";
     });
   }
-  http::ClientResponse AskAs(const std::string& caller, const std::string& gateway,
-                             const std::string& path) {
-    return fleet_.AskAt(gateway, path, {{kCallerHeader, caller}});
+  http::ClientResponse SendRequestAs(const std::string& caller, const std::string& gateway,
+                                     const std::string& path) {
+    return fleet_.SendRequestTo(gateway, path, {{kCallerHeader, caller}});
   }
-  int Deaths() const {
+  int Crashes() const {
     return std::accumulate(leafs_.begin(), leafs_.end(), 0,
-                           [](int sum, const auto& leaf) { return sum + leaf->deaths(); });
+                           [](int sum, const auto& leaf) { return sum + leaf->crashes(); });
   }
   const std::vector<std::string>& gateways() const { return gateways_; }
 
  private:
   PlatformFleet fleet_;
   std::vector<std::string> gateways_;
-  std::vector<std::unique_ptr<MortalLeaf>> leafs_;
+  std::vector<std::unique_ptr<CrashingLeaf>> leafs_;
 };
 
-/// Refused for what it is, not because no leaf is there: "not run", and when to come back.
+/// Whether the request was refused by the quarantine rather than for lack of leafs: it was not run,
+/// and the answer says when to retry.
 bool IsQuarantined(const http::ClientResponse& response) {
   return response.status == 503 && response.body.find("quarantined") != std::string::npos &&
          http::FindHeader(response.headers, "Retry-After") != nullptr;
@@ -109,44 +110,47 @@
 
 class FatalRequestTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FatalRequestTest);
-  CPPUNIT_TEST(GatherThatEndsLeafsIsStoppedEverywhere);
-  CPPUNIT_TEST(RequestToOneLeafThatEndsLeafsIsStoppedEverywhere);
+  CPPUNIT_TEST(GatherThatCrashesLeafsIsStoppedEverywhere);
+  CPPUNIT_TEST(RequestToOneLeafThatCrashesLeafsIsStoppedEverywhere);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void GatherThatEndsLeafsIsStoppedEverywhere() { StopsEverywhere("/all/fatal"); }
-  void RequestToOneLeafThatEndsLeafsIsStoppedEverywhere() { StopsEverywhere("/one/fatal"); }
+  void GatherThatCrashesLeafsIsStoppedEverywhere() { CheckStoppedEverywhere("/all/fatal"); }
+  void RequestToOneLeafThatCrashesLeafsIsStoppedEverywhere() {
+    CheckStoppedEverywhere("/one/fatal");
+  }
 
  private:
   static void CheckServed(const http::ClientResponse& response) {
     CPPUNIT_ASSERT_EQUAL_MESSAGE(response.body, 200, response.status);
   }
 
-  static void StopsEverywhere(const std::string& path) {
-    MortalFleet fleet;
-    // The request comes again, at whichever gateway.
+  static void CheckStoppedEverywhere(const std::string& path) {
+    CrashingFleet fleet;
+    // The request is repeated at the gateways in turn.
     size_t turn = 0;
     size_t refused_in_a_row = 0;
     e2e::WaitFor("every gateway to refuse the request", [&] {
-      fleet.Beat();
+      fleet.SendHeartbeats();
       const std::string& gateway = fleet.gateways()[turn++ % kGateways];
-      const bool refused = IsQuarantined(fleet.AskAs(kFatalCaller, gateway, path));
+      const bool refused = IsQuarantined(fleet.SendRequestAs(kFatalCaller, gateway, path));
       refused_in_a_row = refused ? refused_in_a_row + 1 : 0;
-      return fleet.Deaths() >= 3 && refused_in_a_row >= 2 * kGateways;
+      return fleet.Crashes() >= 3 && refused_in_a_row >= 2 * kGateways;
     });
-    // Once the leafs are back, all else is served: to that caller, and that path to others.
+    // Once the leafs have restarted, other requests of the same caller and the same path for other
+    // callers are served.
     for (const std::string& gateway : fleet.gateways()) {
-      fleet.WaitWhole(gateway);
-      CheckServed(fleet.AskAs(kFatalCaller, gateway, "/all/usual"));
-      CheckServed(fleet.AskAs("Bearer alice", gateway, path));
+      fleet.WaitForAllShards(gateway);
+      CheckServed(fleet.SendRequestAs(kFatalCaller, gateway, "/all/usual"));
+      CheckServed(fleet.SendRequestAs("Bearer alice", gateway, path));
     }
-    const int deaths = fleet.Deaths();
+    const int crashes = fleet.Crashes();
     for (size_t i = 0; i < 4 * kGateways; ++i) {
       const http::ClientResponse answer =
-          fleet.AskAs(kFatalCaller, fleet.gateways()[i % kGateways], path);
+          fleet.SendRequestAs(kFatalCaller, fleet.gateways()[i % kGateways], path);
       CPPUNIT_ASSERT_MESSAGE(std::to_string(answer.status), IsQuarantined(answer));
     }
-    CPPUNIT_ASSERT_EQUAL(deaths, fleet.Deaths());
+    CPPUNIT_ASSERT_EQUAL(crashes, fleet.Crashes());
   }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(FatalRequestTest);
--- a/test/platform/leaf_words_test.cc
+++ b/test/platform/leaf_messages_test.cc
@@ -1,4 +1,4 @@
-// What leafs say of themselves, and what others say in their place.
+// Tests the parsing of heartbeats and deregistrations of leafs, including malformed ones.
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
 
@@ -22,7 +22,7 @@
   return ControlDialect().ReadCommand(request);
 }
 
-Json Word() {
+Json HeartbeatBody() {
   return {
       {"backend", "s1"},      {"address", "10.0.0.9:80"}, {"zone", "north"}, {"version", "v1"},
       {"slots", 2},           {"state", "ready"},         {"seq", 4},        {"cold_left_ms", 0},
@@ -30,40 +30,40 @@
 }
 
 Json With(const char* field, const Json& value) {
-  Json word = Word();
-  word[field] = value;
-  return word;
+  Json body = HeartbeatBody();
+  body[field] = value;
+  return body;
 }
 
 Json Without(const char* field) {
-  Json word = Word();
-  word.erase(field);
-  return word;
+  Json body = HeartbeatBody();
+  body.erase(field);
+  return body;
 }
 
 }  // namespace
 
-class LeafWordsTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(LeafWordsTest);
-  CPPUNIT_TEST(LifeIsReadWhereItIsSaid);
-  CPPUNIT_TEST(FieldsThatMayBeMissing);
-  CPPUNIT_TEST(WordsThatNameNoLeaf);
-  CPPUNIT_TEST(ServicesThatNoDocumentNamesAreKept);
-  CPPUNIT_TEST(FiguresAreBounded);
-  CPPUNIT_TEST(CallsThatNameNoLeaf);
-  CPPUNIT_TEST(AnyWordsAreHarmless);
+class LeafMessagesTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(LeafMessagesTest);
+  CPPUNIT_TEST(IncarnationIsReadWhereGiven);
+  CPPUNIT_TEST(OptionalFieldsMayBeMissing);
+  CPPUNIT_TEST(MalformedMessagesAreRefused);
+  CPPUNIT_TEST(ServicesInNoDocumentAreAccepted);
+  CPPUNIT_TEST(NumbersAreBounded);
+  CPPUNIT_TEST(InvalidLeafIdsAreRefused);
+  CPPUNIT_TEST(AnyAcceptedReportCanBeStored);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void LifeIsReadWhereItIsSaid() {
-    const auto beat = Read(kHeartbeat, Word().dump());
+  void IncarnationIsReadWhereGiven() {
+    const auto heartbeat = Read(kHeartbeat, HeartbeatBody().dump());
     CPPUNIT_ASSERT_EQUAL(uint64_t{1765432100123},
-                         std::get<control::ReportLeaf>(*beat).report.record.born_ms);
+                         std::get<control::ReportLeaf>(*heartbeat).report.record.born_ms);
     const auto leave = Read(kDeregister, Json{{"born", 1765432100123}}.dump());
     CPPUNIT_ASSERT_EQUAL(uint64_t{1765432100123}, std::get<control::RetireLeaf>(*leave).born_ms);
   }
 
-  void FieldsThatMayBeMissing() {
+  void OptionalFieldsMayBeMissing() {
     for (const char* field : {"zone", "version", "slots", "state", "cold_left_ms", "born"}) {
       CPPUNIT_ASSERT_MESSAGE(field, Read(kHeartbeat, Without(field).dump()).ok());
     }
@@ -75,8 +75,8 @@
     CPPUNIT_ASSERT(Read(kDeregister, "{}").ok());
   }
 
-  void WordsThatNameNoLeaf() {
-    const std::string words[] = {
+  void MalformedMessagesAreRefused() {
+    const std::string bodies[] = {
         "",
         "{",
         "[]",
@@ -112,58 +112,59 @@
         With("born", 1765432100123.5).dump(),
         With("born", Json::object()).dump(),
     };
-    for (const std::string& word : words) {
-      const auto command = Read(kHeartbeat, word);
-      CPPUNIT_ASSERT_MESSAGE(word, !command.ok());
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(word, 400,
+    for (const std::string& body : bodies) {
+      const auto command = Read(kHeartbeat, body);
+      CPPUNIT_ASSERT_MESSAGE(body, !command.ok());
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(body, 400,
                                    ControlDialect().WriteRefusal(command.status()).status);
     }
-    for (const std::string& word : {std::string("{"), std::string("[]"), std::string("\xff"),
+    for (const std::string& body : {std::string("{"), std::string("[]"), std::string("\xff"),
                                     Json{{"born", "x"}}.dump(), Json{{"born", -1}}.dump()}) {
-      CPPUNIT_ASSERT_MESSAGE(word, !Read(kDeregister, word).ok());
+      CPPUNIT_ASSERT_MESSAGE(body, !Read(kDeregister, body).ok());
     }
   }
 
-  /// A document that names it may be on its way.
-  void ServicesThatNoDocumentNamesAreKept() {
+  /// The document that names the service may arrive later.
+  void ServicesInNoDocumentAreAccepted() {
     CPPUNIT_ASSERT(Read(kHeartbeat, With("backend", "not-yet-there").dump()).ok());
   }
 
-  void FiguresAreBounded() {
-    const uint64_t most = std::numeric_limits<uint64_t>::max();
-    Json word = Word();
-    word["slots"] = (uint64_t{1} << 32);
-    word["cold_left_ms"] = most;
-    const auto beat = Read(kHeartbeat, word.dump());
-    CPPUNIT_ASSERT(beat.ok());
-    const wire::LeafRecord& record = std::get<control::ReportLeaf>(*beat).report.record;
+  void NumbersAreBounded() {
+    const uint64_t max = std::numeric_limits<uint64_t>::max();
+    Json body = HeartbeatBody();
+    body["slots"] = (uint64_t{1} << 32);
+    body["cold_left_ms"] = max;
+    const auto heartbeat = Read(kHeartbeat, body.dump());
+    CPPUNIT_ASSERT(heartbeat.ok());
+    const wire::LeafRecord& record = std::get<control::ReportLeaf>(*heartbeat).report.record;
     CPPUNIT_ASSERT(record.slots > 0);
     CPPUNIT_ASSERT(Milliseconds(static_cast<int64_t>(record.cold_milliseconds)) > Duration(0));
   }
 
-  void CallsThatNameNoLeaf() {
+  void InvalidLeafIdsAreRefused() {
     for (const std::string& id :
          {std::string(), std::string("a/b"), std::string("a b"), std::string("\xff"),
           std::string("a\n"), std::string(10000, 'a')}) {
-      CPPUNIT_ASSERT_MESSAGE(id, !Read("/v1/instances/" + id + "/heartbeat", Word().dump()).ok());
+      CPPUNIT_ASSERT_MESSAGE(
+          id, !Read("/v1/instances/" + id + "/heartbeat", HeartbeatBody().dump()).ok());
       CPPUNIT_ASSERT_MESSAGE(id, !Read("/v1/instances/" + id + "/deregister", "").ok());
     }
   }
 
-  /// Whatever is read can be committed, written down and read again.
-  void AnyWordsAreHarmless() {
-    const bool held = rc::check("any words are harmless", [] {
+  /// Any report that is accepted can be committed, serialized and read again.
+  void AnyAcceptedReportCanBeStored() {
+    const bool held = rc::check("any accepted report can be stored", [] {
       const auto value = rc::gen::element<Json>(
           Json(), Json(0), Json(-1), Json(1.5), Json(uint64_t{1} << 63), Json("x"),
           Json("10.0.0.9:80"), Json("ready"), Json("draining"), Json(""), Json("\u00e9"),
           Json::array(), Json::object(), Json(true));
-      Json word = Word();
+      Json body = HeartbeatBody();
       for (const auto& field : *rc::gen::container<std::vector<std::string>>(
                rc::gen::element<std::string>("backend", "address", "zone", "slots", "state", "seq",
                                              "cold_left_ms", "born", "other"))) {
-        word[field] = *value;
+        body[field] = *value;
       }
-      std::string text = word.dump();
+      std::string text = body.dump();
       const auto cut = *rc::gen::inRange<size_t>(0, 4);
       if (cut == 0) {
         text.resize(*rc::gen::inRange<size_t>(0, text.size()));
@@ -190,6 +191,6 @@
     CPPUNIT_ASSERT(held);
   }
 };
-CPPUNIT_TEST_SUITE_REGISTRATION(LeafWordsTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(LeafMessagesTest);
 
 }  // namespace pumicedyke::platform
--- a/test/platform/mortal_leaf.cc
+++ b/test/platform/mortal_leaf.cc
@@ -18,30 +18,31 @@
 
 }  // namespace
 
-MortalLeaf::MortalLeaf(std::string name, std::string service, Fatal fatal, AnsweredCb answered)
+CrashingLeaf::CrashingLeaf(std::string name, std::string service, IsFatalCb fatal,
+                           AnsweredCb answered)
     : name_(std::move(name)),
       service_(std::move(service)),
       fatal_(std::move(fatal)),
       answered_(std::move(answered)),
       address_(e2e::FreeAddress()),
       thread_([this] { Serve(); }) {
-  e2e::WaitFor("a mortal leaf", [this] { return lives_ > 0; });
+  e2e::WaitFor("a crashing leaf to listen", [this] { return incarnation_ > 0; });
 }
 
-MortalLeaf::~MortalLeaf() {
+CrashingLeaf::~CrashingLeaf() {
   stop_ = true;
   thread_.join();
 }
 
-std::string MortalLeaf::id() const { return name_ + "-" + std::to_string(lives_.load()); }
+std::string CrashingLeaf::id() const { return name_ + "-" + std::to_string(incarnation_.load()); }
 
-void MortalLeaf::Serve() {
+void CrashingLeaf::Serve() {
   while (!stop_) {
-    Live();
+    RunIncarnation();
   }
 }
 
-void MortalLeaf::Live() {
+void CrashingLeaf::RunIncarnation() {
   net::EventLoop loop;
   http::HttpServer server(&loop, {},
                           [this](const http::HttpRequest& request, http::Responder responder) {
@@ -51,7 +52,7 @@
     return;
   }
   loop_ = &loop;
-  ++lives_;
+  ++incarnation_;
   loop.Run([this, &loop](Timestamp now) {
     if (stop_) {
       loop.Stop();
@@ -61,14 +62,14 @@
   loop_ = nullptr;
 }
 
-void MortalLeaf::OnRequest(const http::HttpRequest& request, http::Responder responder) {
+void CrashingLeaf::OnRequest(const http::HttpRequest& request, http::Responder responder) {
   http::HttpResponse response;
   const std::string request_id = Value(request.headers, "X-Request-Id");
   response.headers = {{"X-Instance-Id", id()}, {"X-Request-Id", request_id}};
   if (Value(request.headers, "X-Expect-Instance") != id()) {
     response.status = 421;
   } else if (fatal_(request)) {
-    ++deaths_;
+    ++crashes_;
     loop_->Stop();
     return;
   } else {
@@ -81,14 +82,14 @@
   responder.Send(std::move(response));
 }
 
-int MortalLeaf::Beat(const std::string& control) {
-  if (beating_life_ != lives_) {
-    beating_life_ = lives_;
-    beats_ = 0;
+int CrashingLeaf::SendHeartbeat(const std::string& control) {
+  if (heartbeat_incarnation_ != incarnation_) {
+    heartbeat_incarnation_ = incarnation_;
+    heartbeats_ = 0;
   }
   const Json body{{"backend", service_}, {"address", address_}, {"zone", "north"},
                   {"version", "v1"},     {"slots", 2},          {"state", "ready"},
-                  {"cold_left_ms", 0},   {"seq", ++beats_}};
+                  {"cold_left_ms", 0},   {"seq", ++heartbeats_}};
   return e2e::Post(control, "/v1/instances/" + id() + "/heartbeat", body.dump()).status;
 }
 
--- a/test/platform/mortal_leaf.h
+++ b/test/platform/mortal_leaf.h
@@ -1,5 +1,5 @@
-// A leaf that ends whenever it begins to run a request of a certain kind, and comes back at the
-// same address as a new incarnation.
+// A leaf that crashes whenever it starts to run a fatal request, and restarts at the same address
+// as a new incarnation.
 #pragma once
 
 #include <atomic>
@@ -13,43 +13,46 @@
 
 namespace pumicedyke::platform {
 
-class MortalLeaf {
+class CrashingLeaf {
  public:
-  using Fatal = std::function<bool(const http::HttpRequest&)>;
-  /// Hears of each run that was answered, by the id of the client's attempt.
+  using IsFatalCb = std::function<bool(const http::HttpRequest&)>;
+  /// Called for each run that was answered, with the id of the client's attempt.
   using AnsweredCb = std::function<void(const std::string& attempt)>;
 
-  /// @param fatal whether the request ends the leaf. It and `answered` run on the leaf's thread.
-  MortalLeaf(std::string name, std::string service, Fatal fatal, AnsweredCb answered = nullptr);
-  ~MortalLeaf();
-  MortalLeaf(const MortalLeaf&) = delete;
-  MortalLeaf& operator=(const MortalLeaf&) = delete;
+  /// @param fatal whether the request crashes the leaf. `fatal` and `answered` run on the leaf's
+  /// thread.
+  CrashingLeaf(std::string name, std::string service, IsFatalCb fatal,
+               AnsweredCb answered = nullptr);
+  ~CrashingLeaf();
+  CrashingLeaf(const CrashingLeaf&) = delete;
+  CrashingLeaf& operator=(const CrashingLeaf&) = delete;
 
-  /// Requests that ended it; each has reached it.
-  int deaths() const { return deaths_; }
+  /// Number of requests that crashed the leaf.
+  int crashes() const { return crashes_; }
   const std::string& service() const { return service_; }
-  /// @return the status of a heartbeat of the incarnation that lives at the moment.
-  int Beat(const std::string& control);
+  /// Sends a heartbeat of the current incarnation. @return its HTTP status.
+  int SendHeartbeat(const std::string& control);
 
  private:
   void Serve();
-  /// One incarnation, until its end.
-  void Live();
+  /// Runs one incarnation until it crashes or is stopped.
+  void RunIncarnation();
   void OnRequest(const http::HttpRequest& request, http::Responder responder);
   std::string id() const;
 
   const std::string name_;
   const std::string service_;
-  const Fatal fatal_;
+  const IsFatalCb fatal_;
   const AnsweredCb answered_;
   const std::string address_;
-  std::atomic<int> deaths_{0};
+  std::atomic<int> crashes_{0};
   std::atomic<bool> stop_{false};
-  /// Incarnations so far, and heartbeats of the last one.
-  std::atomic<int> lives_{0};
-  int beats_ = 0;
-  int beating_life_ = 0;
-  /// That of the incarnation that lives; its own thread's.
+  /// Number of the current incarnation, counted from 1.
+  std::atomic<int> incarnation_{0};
+  /// Number of heartbeats of the incarnation `heartbeat_incarnation_`.
+  int heartbeats_ = 0;
+  int heartbeat_incarnation_ = 0;
+  /// Event loop of the current incarnation; used only on the leaf's thread.
   net::EventLoop* loop_ = nullptr;
   std::thread thread_;
 };
--- a/test/platform/platform_end_to_end_test.cc
+++ b/test/platform/platform_end_to_end_test.cc
@@ -1,5 +1,5 @@
-// The whole path on real processes: documents, heartbeats, the directory, requests, and what must
-// not happen when something leaves, is killed or talks nonsense.
+// End-to-end tests on real processes: documents, heartbeats, the directory and requests, also while
+// processes stop or are killed and when callers send malformed input.
 #include <arpa/inet.h>
 #include <cppunit/extensions/HelperMacros.h>
 #include <netinet/in.h>
@@ -70,7 +70,7 @@
       .dump();
 }
 
-/// The same with a tenant; the route /one/ is open if `open`.
+/// Document() with a tenant; the route /one/ needs no key if `open`.
 std::string KeyedDocument(uint64_t version, const std::string& key, bool open) {
   Json document = Json::parse(Document(version));
   document["tenants"] = Json::array({{{"name", "acme"}, {"api_keys", {key}}}});
@@ -83,8 +83,8 @@
   return value == nullptr ? "" : *value;
 }
 
-/// Sends bytes on a connection of its own. @return what came back until the peer closed.
-std::string Raw(const std::string& address, const std::string& bytes) {
+/// Sends bytes on a new connection. @return all bytes received until the peer closed it.
+std::string SendRawBytes(const std::string& address, const std::string& bytes) {
   std::string host;
   uint16_t port = 0;
   CPPUNIT_ASSERT(http::SplitAddress(address, &host, &port));
@@ -110,38 +110,38 @@
 class PlatformEndToEndTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PlatformEndToEndTest);
   CPPUNIT_TEST(WholePathServes);
-  CPPUNIT_TEST(KeysOpenTheDoorAndGoNoFurther);
+  CPPUNIT_TEST(KeysAreRequiredAndNotPassedToLeafs);
   CPPUNIT_TEST(GathersOfManyShardsAreShared);
-  CPPUNIT_TEST(MetricsTellWhatWasAnswered);
+  CPPUNIT_TEST(MetricsCountAnswers);
   CPPUNIT_TEST(InvalidDocumentIsNeverInForce);
-  CPPUNIT_TEST(NonsenseCostsNobodyElse);
+  CPPUNIT_TEST(MalformedInputDoesNotAffectOthers);
   CPPUNIT_TEST(DrainingLeafGetsNoMoreWork);
-  CPPUNIT_TEST(LeavingClientStopsItsWork);
-  CPPUNIT_TEST(ControlKilledWholeLosesNothing);
-  CPPUNIT_TEST(EvacuatedZoneGetsNothingAndOrdersSurvive);
-  CPPUNIT_TEST(GatewaysTellWhereToGoWithoutControl);
-  CPPUNIT_TEST(DocumentPassedToAFrozenLeaderIsTakenByTheNext);
-  CPPUNIT_TEST(ReadPassedToAFrozenLeaderIsAnsweredByTheNext);
-  CPPUNIT_TEST(StoppingGatewayFinishesWhatItHas);
+  CPPUNIT_TEST(DisconnectedClientCancelsItsRequest);
+  CPPUNIT_TEST(KillingAllControlMachinesLosesNothing);
+  CPPUNIT_TEST(EvacuatedZoneGetsNoRequestsAndOrdersSurvive);
+  CPPUNIT_TEST(GatewaysServeDirectoryWithoutControl);
+  CPPUNIT_TEST(DocumentForwardedToPausedLeaderIsCommittedByTheNext);
+  CPPUNIT_TEST(ReadForwardedToPausedLeaderIsAnsweredByTheNext);
+  CPPUNIT_TEST(StoppingGatewayFinishesItsRequests);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void WholePathServes() {
     PlatformFleet fleet;
-    StandInLeaf leaf0("leaf-a", "s0");
-    StandInLeaf leaf1("leaf-b", "s1");
+    FakeLeaf leaf0("leaf-a", "s0");
+    FakeLeaf leaf1("leaf-b", "s1");
     CPPUNIT_ASSERT_EQUAL(200, fleet.Put(Document(7)));
-    fleet.Beat({&leaf0, &leaf1});
-    fleet.WaitWhole("/all/1");
-    const http::ClientResponse one = fleet.Ask("/one/x?y=z");
+    fleet.SendHeartbeats({&leaf0, &leaf1});
+    fleet.WaitForAllShards("/all/1");
+    const http::ClientResponse one = fleet.SendRequest("/one/x?y=z");
     CPPUNIT_ASSERT_EQUAL(200, one.status);
     CPPUNIT_ASSERT_EQUAL(std::string("leaf-a.") + Header(one, "X-Request-Id"),
                          Header(one, "X-Server-Stamp"));
-    const http::ClientResponse all = fleet.Ask("/all/1");
+    const http::ClientResponse all = fleet.SendRequest("/all/1");
     CPPUNIT_ASSERT_EQUAL(std::string("0"), Header(all, "X-Missing-Parts"));
     CPPUNIT_ASSERT_EQUAL(std::string("leaf-b.........."), all.body);
-    CPPUNIT_ASSERT_EQUAL(404, fleet.Ask("/nowhere/1").status);
-    // The directory names the gateway, the document reads back byte for byte at every machine.
+    CPPUNIT_ASSERT_EQUAL(404, fleet.SendRequest("/nowhere/1").status);
+    // The directory returns the gateway, and every machine returns the document byte for byte.
     for (int i = 0; i < PlatformFleet::kControls; ++i) {
       e2e::WaitFor("the directory", [&] {
         const auto found =
@@ -149,7 +149,7 @@
         return found.status == 200 &&
                Json::parse(found.body)["addrs"][0] == fleet.gateway_address();
       });
-      // Between two leaders a machine says that it cannot be sure; it never says anything else.
+      // While there is no leader a machine may only answer 503.
       http::ClientResponse read;
       e2e::WaitFor("a read", [&] {
         read = e2e::Get(fleet.ServiceAddress(i), "/v1/config/get");
@@ -161,95 +161,96 @@
     CPPUNIT_ASSERT_EQUAL(200, e2e::Get(fleet.ready_address(), "/v1/readyz").status);
   }
 
-  /// The second gateway asks leafs for the first one; when it is killed, the first works alone.
-  void KeysOpenTheDoorAndGoNoFurther() {
+  void KeysAreRequiredAndNotPassedToLeafs() {
     PlatformFleet fleet;
-    StandInLeaf leaf0("leaf-a", "s0");
-    StandInLeaf leaf1("leaf-b", "s1");
-    const auto ask = [&fleet](const std::string& path, const std::string& key) {
-      return fleet.AskAt(fleet.gateway_address(), path,
-                         {{"Authorization", "Bearer " + key}, {"X-Tenant", "somebody"}});
+    FakeLeaf leaf0("leaf-a", "s0");
+    FakeLeaf leaf1("leaf-b", "s1");
+    const auto send_with_key = [&fleet](const std::string& path, const std::string& key) {
+      return fleet.SendRequestTo(fleet.gateway_address(), path,
+                                 {{"Authorization", "Bearer " + key}, {"X-Tenant", "somebody"}});
     };
-    // Without tenants both words go on to leafs.
+    // Without tenants both headers are passed on to leafs.
     CPPUNIT_ASSERT_EQUAL(200, fleet.Put(Document(7)));
-    fleet.Beat({&leaf0, &leaf1});
-    fleet.WaitWhole("/all/1");
-    CPPUNIT_ASSERT_EQUAL(200, ask("/one/1", "hush-1").status);
-    const http::Headers before = leaf0.heard();
+    fleet.SendHeartbeats({&leaf0, &leaf1});
+    fleet.WaitForAllShards("/all/1");
+    CPPUNIT_ASSERT_EQUAL(200, send_with_key("/one/1", "hush-1").status);
+    const http::Headers before = leaf0.last_headers();
     CPPUNIT_ASSERT_EQUAL(std::string("Bearer hush-1"), *http::FindHeader(before, "Authorization"));
     CPPUNIT_ASSERT_EQUAL(std::string("somebody"), *http::FindHeader(before, "X-Tenant"));
-    // With tenants, only the tenant's name does.
+    // With tenants, only the tenant's name is passed on.
     CPPUNIT_ASSERT_EQUAL(200, fleet.Put(KeyedDocument(8, "hush-1", /*open=*/false)));
-    e2e::WaitFor("keys to be asked for", [&] { return fleet.Ask("/one/1").status == 401; });
-    // A gateway that is not sure for a moment says 503, never 200.
-    const auto refused = [&ask](const std::string& path, const std::string& key) {
+    e2e::WaitFor("keys to be asked for", [&] { return fleet.SendRequest("/one/1").status == 401; });
+    // A gateway that cannot currently verify keys answers 503, never 200.
+    const auto refused = [&send_with_key](const std::string& path, const std::string& key) {
       int status = 0;
-      e2e::WaitFor("a verdict", [&] {
-        status = ask(path, key).status;
+      e2e::WaitFor("a decision on the key", [&] {
+        status = send_with_key(path, key).status;
         return status != 503;
       });
       return status;
     };
     struct Place {
       std::string path;
-      StandInLeaf* leaf;
+      FakeLeaf* leaf;
     };
     for (const Place& place : {Place{"/one/1", &leaf0}, Place{"/all/1", &leaf1}}) {
       const std::string& path = place.path;
-      StandInLeaf* leaf = place.leaf;
-      CPPUNIT_ASSERT_EQUAL(401, fleet.Ask(path).status);
+      FakeLeaf* leaf = place.leaf;
+      CPPUNIT_ASSERT_EQUAL(401, fleet.SendRequest(path).status);
       CPPUNIT_ASSERT_EQUAL(401, refused(path, "hush-2"));
-      CPPUNIT_ASSERT_EQUAL(200, ask(path, "hush-1").status);
-      e2e::WaitFor("the leaf to be told of the tenant", [&] {
-        const http::Headers now = leaf->heard();
+      CPPUNIT_ASSERT_EQUAL(200, send_with_key(path, "hush-1").status);
+      e2e::WaitFor("the leaf to get the tenant's name", [&] {
+        const http::Headers now = leaf->last_headers();
         const std::string* tenant = http::FindHeader(now, "X-Tenant");
         return tenant != nullptr && *tenant == "acme";
       });
-      const http::Headers heard = leaf->heard();
-      CPPUNIT_ASSERT(http::FindHeader(heard, "Authorization") == nullptr);
-      CPPUNIT_ASSERT_EQUAL(1L, std::count_if(heard.begin(), heard.end(), [](const auto& header) {
-                             return http::SameName(header.name, "X-Tenant");
-                           }));
+      const http::Headers last_headers = leaf->last_headers();
+      CPPUNIT_ASSERT(http::FindHeader(last_headers, "Authorization") == nullptr);
+      CPPUNIT_ASSERT_EQUAL(
+          1L, std::count_if(last_headers.begin(), last_headers.end(), [](const auto& header) {
+            return http::SameName(header.name, "X-Tenant");
+          }));
     }
-    // Another key, and an open route, which drops what is claimed.
+    // With a new key and an open route, which drops the caller's headers.
     CPPUNIT_ASSERT_EQUAL(200, fleet.Put(KeyedDocument(9, "hush-2", /*open=*/true)));
-    e2e::WaitFor("the new key", [&] { return ask("/all/1", "hush-2").status == 200; });
+    e2e::WaitFor("the new key", [&] { return send_with_key("/all/1", "hush-2").status == 200; });
     CPPUNIT_ASSERT_EQUAL(401, refused("/all/1", "hush-1"));
-    CPPUNIT_ASSERT_EQUAL(200, ask("/one/1", "hush-1").status);
-    const http::Headers open = leaf0.heard();
+    CPPUNIT_ASSERT_EQUAL(200, send_with_key("/one/1", "hush-1").status);
+    const http::Headers open = leaf0.last_headers();
     for (const char* name : {"Authorization", "X-Tenant"}) {
       CPPUNIT_ASSERT_MESSAGE(name, http::FindHeader(open, name) == nullptr);
     }
   }
 
+  /// The second gateway queries leafs for the first one. When it is killed, the first works alone.
   void GathersOfManyShardsAreShared() {
     constexpr size_t kShards = 30;
     PlatformFleet fleet;
     fleet.StartSecondGateway();
-    std::vector<std::unique_ptr<StandInLeaf>> leafs;
-    std::vector<StandInLeaf*> beating;
+    std::vector<std::unique_ptr<FakeLeaf>> leafs;
+    std::vector<FakeLeaf*> reporting_leafs;
     for (size_t i = 0; i < kShards; ++i) {
       const std::string number = std::to_string(i);
-      leafs.push_back(std::make_unique<StandInLeaf>("leaf-" + number, "m" + number));
-      beating.push_back(leafs.back().get());
+      leafs.push_back(std::make_unique<FakeLeaf>("leaf-" + number, "m" + number));
+      reporting_leafs.push_back(leafs.back().get());
     }
     CPPUNIT_ASSERT_EQUAL(200, fleet.Put(DocumentOfShards(kShards)));
-    fleet.Beat(beating);
-    fleet.WaitWhole("/many/1");
+    fleet.SendHeartbeats(reporting_leafs);
+    fleet.WaitForAllShards("/many/1");
     const auto connections = [&fleet] {
       const std::string page = e2e::Get(fleet.second_metrics_address(), "/metrics").body;
       const std::string name = "\npumicedyke_gateway_leaf_connections_total ";
       const size_t at = page.find(name);
       return at == std::string::npos ? 0 : std::atoi(page.c_str() + at + name.size());
     };
-    e2e::WaitFor("the second gateway to ask leafs", [&] {
-      fleet.Ask("/many/1");
+    e2e::WaitFor("the second gateway to query leafs", [&] {
+      fleet.SendRequest("/many/1");
       return connections() > 0;
     });
     // On a busy machine the second gateway may answer too late for some requests.
     http::ClientResponse all;
-    e2e::WaitFor("an answer by all shards", [&] {
-      all = fleet.Ask("/many/1");
+    e2e::WaitFor("an answer from all shards", [&] {
+      all = fleet.SendRequest("/many/1");
       return all.status == 200 && Header(all, "X-Missing-Parts") == "0";
     });
     CPPUNIT_ASSERT_EQUAL(std::string("leaf-9.........."), all.body);
@@ -257,18 +258,18 @@
     CPPUNIT_ASSERT_EQUAL(static_cast<long>(kShards - 1),
                          static_cast<long>(std::count(stamps.begin(), stamps.end(), ',')));
     fleet.processes.at("gateway2")->Kill();
-    fleet.WaitServed("/many/2");
+    fleet.WaitUntilServed("/many/2");
   }
 
-  void MetricsTellWhatWasAnswered() {
+  void MetricsCountAnswers() {
     PlatformFleet fleet;
-    StandInLeaf leaf0("leaf-a", "s0");
-    StandInLeaf leaf1("leaf-b", "s1");
+    FakeLeaf leaf0("leaf-a", "s0");
+    FakeLeaf leaf1("leaf-b", "s1");
     CPPUNIT_ASSERT_EQUAL(200, fleet.Put(Document(7)));
-    fleet.Beat({&leaf0, &leaf1});
-    fleet.WaitWhole("/all/1");
-    CPPUNIT_ASSERT_EQUAL(200, fleet.Ask("/one/1").status);
-    CPPUNIT_ASSERT_EQUAL(404, fleet.Ask("/nowhere/1").status);
+    fleet.SendHeartbeats({&leaf0, &leaf1});
+    fleet.WaitForAllShards("/all/1");
+    CPPUNIT_ASSERT_EQUAL(200, fleet.SendRequest("/one/1").status);
+    CPPUNIT_ASSERT_EQUAL(404, fleet.SendRequest("/nowhere/1").status);
     const http::ClientResponse page = e2e::Get(fleet.metrics_address(), "/metrics");
     CPPUNIT_ASSERT_EQUAL(200, page.status);
     for (const char* line :
@@ -288,7 +289,7 @@
     Json bad = Json::parse(Document(8));
     bad["routes"][0]["backend"] = "nobody";
     CPPUNIT_ASSERT_EQUAL(400, fleet.Put(bad.dump()));
-    // An older number, and the same one with other content, are acknowledged and change nothing.
+    // An older version, and the same version with other content, are acknowledged without effect.
     CPPUNIT_ASSERT_EQUAL(200, fleet.Put(Document(6)));
     Json other = Json::parse(Document(7));
     other["routes"].erase(1);
@@ -296,12 +297,12 @@
     CPPUNIT_ASSERT_EQUAL(Document(7), e2e::Get(fleet.ServiceAddress(1), "/v1/config/get").body);
   }
 
-  void NonsenseCostsNobodyElse() {
+  void MalformedInputDoesNotAffectOthers() {
     PlatformFleet fleet;
-    StandInLeaf leaf("leaf-a", "s0");
+    FakeLeaf leaf("leaf-a", "s0");
     fleet.Put(Document(1));
-    fleet.Beat({&leaf});
-    fleet.WaitServed("/one/1");
+    fleet.SendHeartbeats({&leaf});
+    fleet.WaitUntilServed("/one/1");
     struct Case {
       std::string bytes;
       const char* status;
@@ -316,53 +317,55 @@
         {head + "X-Request-Id: 1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", "400"},
     };
     for (const Case& item : cases) {
-      const std::string answer = Raw(fleet.gateway_address(), item.bytes);
+      const std::string answer = SendRawBytes(fleet.gateway_address(), item.bytes);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(answer, std::string("HTTP/1.1 ") + item.status,
                                    answer.substr(0, 12));
-      CPPUNIT_ASSERT_EQUAL(200, fleet.Ask("/one/1").status);
+      CPPUNIT_ASSERT_EQUAL(200, fleet.SendRequest("/one/1").status);
     }
     CPPUNIT_ASSERT_EQUAL(
         400, e2e::Post(fleet.ServiceAddress(0), "/v1/instances/x/heartbeat", "{]").status);
     CPPUNIT_ASSERT_EQUAL(404, e2e::Get(fleet.ServiceAddress(0), "/v1/nothing").status);
-    CPPUNIT_ASSERT_EQUAL(200, fleet.Ask("/one/1").status);
+    CPPUNIT_ASSERT_EQUAL(200, fleet.SendRequest("/one/1").status);
   }
 
   void DrainingLeafGetsNoMoreWork() {
     PlatformFleet fleet;
-    StandInLeaf stays("leaf-a", "s0");
-    StandInLeaf leaves("leaf-b", "s0");
+    FakeLeaf remaining_leaf("leaf-a", "s0");
+    FakeLeaf leaves("leaf-b", "s0");
     fleet.Put(Document(1));
-    fleet.Beat({&stays, &leaves});
+    fleet.SendHeartbeats({&remaining_leaf, &leaves});
     e2e::WaitFor("both leafs to be used", [&] {
-      return fleet.Ask("/one/1").status == 200 && stays.runs() > 0 && leaves.runs() > 0;
+      return fleet.SendRequest("/one/1").status == 200 && remaining_leaf.runs() > 0 &&
+             leaves.runs() > 0;
     });
-    e2e::WaitFor("the leave to be taken",
-                 [&] { return leaves.Beat(fleet.ServiceAddress(1), /*draining=*/true) == 200; });
-    // The gateway hears of it within a moment; then not one request goes there.
-    e2e::WaitFor("the gateway to hear of it", [&] {
+    e2e::WaitFor("the draining heartbeat to be accepted", [&] {
+      return leaves.SendHeartbeat(fleet.ServiceAddress(1), /*draining=*/true) == 200;
+    });
+    // Once the gateway has been notified, no more requests are sent to the leaf.
+    e2e::WaitFor("the gateway to be notified", [&] {
       const int before = leaves.runs();
       for (int i = 0; i < 20; ++i) {
-        CPPUNIT_ASSERT_EQUAL(200, fleet.Ask("/one/1").status);
+        CPPUNIT_ASSERT_EQUAL(200, fleet.SendRequest("/one/1").status);
       }
       return leaves.runs() == before;
     });
-    // A late heartbeat that still says ready changes nothing, at any machine.
+    // A late heartbeat with state "ready" has no effect at any machine.
     for (int i = 0; i < PlatformFleet::kControls; ++i) {
-      leaves.Beat(fleet.ServiceAddress(i));
+      leaves.SendHeartbeat(fleet.ServiceAddress(i));
     }
     const int before = leaves.runs();
     for (int i = 0; i < 20; ++i) {
-      CPPUNIT_ASSERT_EQUAL(200, fleet.Ask("/one/1").status);
+      CPPUNIT_ASSERT_EQUAL(200, fleet.SendRequest("/one/1").status);
     }
     CPPUNIT_ASSERT_EQUAL(before, leaves.runs());
   }
 
-  void LeavingClientStopsItsWork() {
+  void DisconnectedClientCancelsItsRequest() {
     PlatformFleet fleet;
-    StandInLeaf leaf("leaf-a", "s0");
+    FakeLeaf leaf("leaf-a", "s0");
     fleet.Put(Document(1));
-    fleet.Beat({&leaf});
-    fleet.WaitServed("/one/1");
+    fleet.SendHeartbeats({&leaf});
+    fleet.WaitUntilServed("/one/1");
     leaf.Hold();
     http::ClientRequest request;
     request.address = fleet.gateway_address();
@@ -371,20 +374,20 @@
     request.headers = {
         {"Host", "desk.example"}, {"X-Request-Id", "leaves"}, {"X-Deadline-Ms", "60000"}};
     CPPUNIT_ASSERT(!http::FetchBlocking(request).ok());
-    e2e::WaitFor("the leaf to be told", [&] { return leaf.given_up() > 0; });
+    e2e::WaitFor("the leaf to be notified", [&] { return leaf.cancelled_runs() > 0; });
   }
 
-  void ControlKilledWholeLosesNothing() {
+  void KillingAllControlMachinesLosesNothing() {
     PlatformFleet fleet;
-    StandInLeaf leaf("leaf-a", "s0");
+    FakeLeaf leaf("leaf-a", "s0");
     fleet.Put(Document(5));
-    fleet.Beat({&leaf});
-    fleet.WaitServed("/one/1");
+    fleet.SendHeartbeats({&leaf});
+    fleet.WaitUntilServed("/one/1");
     for (int i = 0; i < PlatformFleet::kControls; ++i) {
       fleet.processes.at("c" + std::to_string(i))->Kill();
     }
-    // The gateway serves on with what it knows.
-    CPPUNIT_ASSERT_EQUAL(200, fleet.Ask("/one/1").status);
+    // The gateway continues to serve with its last configuration.
+    CPPUNIT_ASSERT_EQUAL(200, fleet.SendRequest("/one/1").status);
     for (int i = 0; i < PlatformFleet::kControls; ++i) {
       fleet.StartControl(i, /*bootstrap=*/false);
     }
@@ -392,15 +395,15 @@
       const auto read = e2e::Get(fleet.ServiceAddress(2), "/v1/config/get");
       return read.status == 200 && read.body == Document(5);
     });
-    CPPUNIT_ASSERT_EQUAL(200, fleet.Ask("/one/1").status);
-    // A gateway that starts now learns of the leaf, though it has not reported again.
+    CPPUNIT_ASSERT_EQUAL(200, fleet.SendRequest("/one/1").status);
+    // A gateway that starts now learns of the leaf, although the leaf has not reported again.
     fleet.processes.at("gateway")->Kill();
     fleet.StartGateway();
-    fleet.WaitServed("/one/1");
+    fleet.WaitUntilServed("/one/1");
   }
 
-  /// @return the last status of an order that is given to each control machine in turn until one
-  /// gives a definite answer.
+  /// Sends an order to the control machines in turn until one gives a definite answer. @return the
+  /// last status.
   static int Order(const PlatformFleet& fleet, int first, const std::string& path) {
     int status = 0;
     e2e::WaitFor("an answer to the order", [&] {
@@ -414,18 +417,19 @@
     return status;
   }
 
-  void EvacuatedZoneGetsNothingAndOrdersSurvive() {
+  void EvacuatedZoneGetsNoRequestsAndOrdersSurvive() {
     PlatformFleet fleet;
-    StandInLeaf leaf("leaf-a", "s0");
+    FakeLeaf leaf("leaf-a", "s0");
     fleet.Put(Document(5));
-    fleet.Beat({&leaf});
-    fleet.WaitServed("/one/1");
+    fleet.SendHeartbeats({&leaf});
+    fleet.WaitUntilServed("/one/1");
     CPPUNIT_ASSERT_EQUAL(404, Order(fleet, 0, "/v1/evacuate/nowhere/start"));
-    // Any machine takes the order, and takes it again.
+    // Every machine accepts the order, also when repeated.
     for (int i = 0; i < PlatformFleet::kControls; ++i) {
       CPPUNIT_ASSERT_EQUAL(200, Order(fleet, i, "/v1/evacuate/north/start"));
     }
-    e2e::WaitFor("the zone to get nothing", [&] { return fleet.Ask("/one/1").status == 503; });
+    e2e::WaitFor("the zone to get no requests",
+                 [&] { return fleet.SendRequest("/one/1").status == 503; });
     const int runs = leaf.runs();
     for (int i = 0; i < PlatformFleet::kControls; ++i) {
       fleet.processes.at("c" + std::to_string(i))->Kill();
@@ -437,76 +441,76 @@
     fleet.StartGateway();
     e2e::WaitFor("the gateway",
                  [&] { return e2e::Get(fleet.ready_address(), "/v1/readyz").status == 200; });
-    CPPUNIT_ASSERT_EQUAL(503, fleet.Ask("/one/1").status);
+    CPPUNIT_ASSERT_EQUAL(503, fleet.SendRequest("/one/1").status);
     CPPUNIT_ASSERT_EQUAL(runs, leaf.runs());
     CPPUNIT_ASSERT_EQUAL(200, Order(fleet, 1, "/v1/evacuate/north/stop"));
-    fleet.WaitServed("/one/1");
+    fleet.WaitUntilServed("/one/1");
   }
 
-  /// Whichever machine leads: a document that its follower has passed on to it is in force without
-  /// being sent again.
-  void DocumentPassedToAFrozenLeaderIsTakenByTheNext() {
+  /// A document that a follower forwarded to a paused leader is committed without being sent again,
+  /// whichever machine leads.
+  void DocumentForwardedToPausedLeaderIsCommittedByTheNext() {
     PlatformFleet fleet;
     CPPUNIT_ASSERT_EQUAL(200, fleet.Put(Document(1)));
     for (int i = 0; i < PlatformFleet::kControls; ++i) {
-      e2e::Process& frozen = *fleet.processes.at("c" + std::to_string(i));
+      e2e::Process& paused = *fleet.processes.at("c" + std::to_string(i));
       const int other = (i + 1) % PlatformFleet::kControls;
       e2e::WaitFor("a quorum", [&] {
         return e2e::Get(fleet.ServiceAddress(other), "/v1/config/get").status == 200;
       });
-      frozen.Signal(SIGSTOP);
+      paused.Signal(SIGSTOP);
       const int status = e2e::Post(fleet.ServiceAddress(other), "/v1/config/put",
                                    Document(static_cast<uint64_t>(i) + 2))
                              .status;
-      frozen.Signal(SIGCONT);
+      paused.Signal(SIGCONT);
       CPPUNIT_ASSERT_EQUAL(200, status);
     }
   }
 
-  void ReadPassedToAFrozenLeaderIsAnsweredByTheNext() {
+  void ReadForwardedToPausedLeaderIsAnsweredByTheNext() {
     PlatformFleet fleet;
     CPPUNIT_ASSERT_EQUAL(200, fleet.Put(Document(1)));
     for (int i = 0; i < PlatformFleet::kControls; ++i) {
-      e2e::Process& frozen = *fleet.processes.at("c" + std::to_string(i));
+      e2e::Process& paused = *fleet.processes.at("c" + std::to_string(i));
       const std::string other = fleet.ServiceAddress((i + 1) % PlatformFleet::kControls);
       e2e::WaitFor("a quorum", [&] { return e2e::Get(other, "/v1/config/get").status == 200; });
-      frozen.Signal(SIGSTOP);
+      paused.Signal(SIGSTOP);
       const http::ClientResponse read = e2e::Get(other, "/v1/config/get");
-      frozen.Signal(SIGCONT);
+      paused.Signal(SIGCONT);
       CPPUNIT_ASSERT_EQUAL(200, read.status);
       CPPUNIT_ASSERT_EQUAL(Document(1), read.body);
     }
   }
 
-  void GatewaysTellWhereToGoWithoutControl() {
+  void GatewaysServeDirectoryWithoutControl() {
     PlatformFleet fleet;
-    StandInLeaf leaf("leaf-a", "s0");
+    FakeLeaf leaf("leaf-a", "s0");
     fleet.Put(Document(5));
-    fleet.Beat({&leaf});
-    fleet.WaitServed("/one/1");
+    fleet.SendHeartbeats({&leaf});
+    fleet.WaitUntilServed("/one/1");
     const std::string question = "/v1/resolve?name=x&region=r&zone=north";
-    const auto told = [&] { return e2e::Get(fleet.gateway_directory_address(), question); };
-    e2e::WaitFor("the directory", [&] { return told().status == 200; });
+    const auto lookup = [&] { return e2e::Get(fleet.gateway_directory_address(), question); };
+    e2e::WaitFor("the directory", [&] { return lookup().status == 200; });
     for (int i = 0; i < PlatformFleet::kControls; ++i) {
       fleet.processes.at("c" + std::to_string(i))->Kill();
     }
-    const http::ClientResponse found = told();
+    const http::ClientResponse found = lookup();
     CPPUNIT_ASSERT_EQUAL(200, found.status);
     CPPUNIT_ASSERT(Json::parse(found.body)["addrs"][0] == fleet.gateway_address());
     CPPUNIT_ASSERT_EQUAL(404, e2e::Get(fleet.gateway_directory_address(), "/one/1").status);
   }
 
-  void StoppingGatewayFinishesWhatItHas() {
+  void StoppingGatewayFinishesItsRequests() {
     PlatformFleet fleet;
-    StandInLeaf leaf("leaf-a", "s0");
+    FakeLeaf leaf("leaf-a", "s0");
     fleet.Put(Document(1));
-    fleet.Beat({&leaf});
-    fleet.WaitServed("/one/1");
+    fleet.SendHeartbeats({&leaf});
+    fleet.WaitUntilServed("/one/1");
     e2e::Process& gateway = *fleet.processes.at("gateway");
     gateway.Signal(SIGTERM);
     e2e::WaitFor("not ready",
                  [&] { return e2e::Get(fleet.ready_address(), "/v1/readyz").status != 200; });
-    const http::ClientResponse last = fleet.Ask("/one/1");
+    const http::ClientResponse last = fleet.SendRequest("/one/1");
     CPPUNIT_ASSERT(last.status == 200 || last.not_sent);
     CPPUNIT_ASSERT_EQUAL(0, gateway.Wait());
   }
--- a/test/platform/platform_fleet.cc
+++ b/test/platform/platform_fleet.cc
@@ -26,9 +26,9 @@
 
 }  // namespace
 
-// ---- StandInLeaf --------------------------------------------------------------------------------
+// ---- FakeLeaf -----------------------------------------------------------------------------------
 
-StandInLeaf::StandInLeaf(std::string id, std::string service)
+FakeLeaf::FakeLeaf(std::string id, std::string service)
     : id_(std::move(id)), service_(std::move(service)) {
   std::atomic<bool> listening{false};
   thread_ = std::thread([this, &listening] {
@@ -47,18 +47,18 @@
       return now + Milliseconds(10);
     });
   });
-  e2e::WaitFor("a leaf", [&] { return listening.load(); });
+  e2e::WaitFor("a leaf to listen", [&] { return listening.load(); });
 }
 
-StandInLeaf::~StandInLeaf() {
+FakeLeaf::~FakeLeaf() {
   stop_ = true;
   thread_.join();
 }
 
-void StandInLeaf::OnRequest(const http::HttpRequest& request, http::Responder responder) {
+void FakeLeaf::OnRequest(const http::HttpRequest& request, http::Responder responder) {
   {
     const std::lock_guard lock(mutex_);
-    heard_ = request.headers;
+    last_headers_ = request.headers;
   }
   http::HttpResponse response;
   const std::string request_id = Value(request.headers, "X-Request-Id");
@@ -76,7 +76,7 @@
   }
   ++runs_;
   if (hold_) {
-    responder.WatchClient([this] { ++given_up_; });
+    responder.WatchClient([this] { ++cancelled_runs_; });
     return;
   }
   response.headers.push_back({"X-Server-Stamp", id_ + "." + request_id});
@@ -86,7 +86,7 @@
   responder.Send(std::move(response));
 }
 
-int StandInLeaf::Beat(const std::string& control, bool draining) {
+int FakeLeaf::SendHeartbeat(const std::string& control, bool draining) {
   const Json body{{"backend", service_}, {"address", address()},
                   {"zone", "north"},     {"version", "v1"},
                   {"slots", 2},          {"state", draining ? "draining" : "ready"},
@@ -156,7 +156,7 @@
                               e2e::FreeAddress()});
 }
 
-std::string PlatformFleet::StartFurtherGateway(const std::string& name) {
+std::string PlatformFleet::StartAdditionalGateway(const std::string& name) {
   std::string listen = e2e::FreeAddress();
   StartGatewayAt(name, {listen, e2e::FreeAddress(), e2e::FreeAddress(), e2e::FreeAddress()});
   return listen;
@@ -174,7 +174,7 @@
   gateways_[process] = addresses;
   const std::string file = folder_ + "/" + process + ".toml";
   std::ofstream settings(file);
-  // So small a share of a processor that even a few dozen shards are worth sharing.
+  // The processor share is so small that even a few dozen shards are worth sharing.
   settings << "cluster = \"test\"\nnode = \"" << process << "\"\nzone = \"north\"\nlisten = \""
            << addresses.listen << "\"\nready_listen = \"" << addresses.ready
            << "\"\ndirectory_listen = \"" << addresses.directory << "\"\nmetrics_listen = \""
@@ -201,36 +201,39 @@
   return status;
 }
 
-void PlatformFleet::Beat(const std::vector<StandInLeaf*>& leafs) {
-  for (StandInLeaf* leaf : leafs) {
-    e2e::WaitFor("a heartbeat to be taken", [&] { return leaf->Beat(ServiceAddress(0)) == 200; });
+void PlatformFleet::SendHeartbeats(const std::vector<FakeLeaf*>& leafs) {
+  for (FakeLeaf* leaf : leafs) {
+    e2e::WaitFor("a heartbeat to be accepted",
+                 [&] { return leaf->SendHeartbeat(ServiceAddress(0)) == 200; });
   }
 }
 
-http::ClientResponse PlatformFleet::Ask(const std::string& path, int64_t deadline_ms) {
-  return AskAt(gateway_address_, path, {}, deadline_ms);
+http::ClientResponse PlatformFleet::SendRequest(const std::string& path, int64_t deadline_ms) {
+  return SendRequestTo(gateway_address_, path, {}, deadline_ms);
 }
 
-http::ClientResponse PlatformFleet::AskAt(const std::string& gateway, const std::string& path,
-                                          const http::Headers& headers, int64_t deadline_ms) {
+http::ClientResponse PlatformFleet::SendRequestTo(const std::string& gateway,
+                                                  const std::string& path,
+                                                  const http::Headers& headers,
+                                                  int64_t deadline_ms) {
   http::ClientRequest request;
   request.address = gateway;
   request.path = path;
   request.method = "GET";
   request.headers = {{"Host", kHost},
-                     {"X-Request-Id", "test-" + std::to_string(++asked_)},
+                     {"X-Request-Id", "test-" + std::to_string(++request_count_)},
                      {"X-Deadline-Ms", std::to_string(deadline_ms)}};
   request.headers.insert(request.headers.end(), headers.begin(), headers.end());
   return http::FetchBlocking(request);
 }
 
-void PlatformFleet::WaitServed(const std::string& path) {
-  e2e::WaitFor(path + " to be served", [&] { return Ask(path).status == 200; });
+void PlatformFleet::WaitUntilServed(const std::string& path) {
+  e2e::WaitFor(path + " to be served", [&] { return SendRequest(path).status == 200; });
 }
 
-void PlatformFleet::WaitWhole(const std::string& path) {
+void PlatformFleet::WaitForAllShards(const std::string& path) {
   e2e::WaitFor(path + " to be served by all shards", [&] {
-    const http::ClientResponse response = Ask(path);
+    const http::ClientResponse response = SendRequest(path);
     const std::string* missing = http::FindHeader(response.headers, "X-Missing-Parts");
     return response.status == 200 && missing != nullptr && *missing == "0";
   });
--- a/test/platform/platform_fleet.h
+++ b/test/platform/platform_fleet.h
@@ -1,5 +1,5 @@
-// Real control machines and a gateway on loopback, with stand-ins for the platform's leafs,
-// operator and clients, which speak its published protocol.
+// Real control machines and gateways on loopback, with fakes of the platform's leafs, operator and
+// clients that use its published protocol.
 #pragma once
 
 #include <atomic>
@@ -17,31 +17,31 @@
 namespace pumicedyke::platform {
 
 /// A leaf that answers with its own signature and a record made of its name.
-class StandInLeaf {
+class FakeLeaf {
  public:
-  StandInLeaf(std::string id, std::string service);
-  ~StandInLeaf();
-  StandInLeaf(const StandInLeaf&) = delete;
-  StandInLeaf& operator=(const StandInLeaf&) = delete;
+  FakeLeaf(std::string id, std::string service);
+  ~FakeLeaf();
+  FakeLeaf(const FakeLeaf&) = delete;
+  FakeLeaf& operator=(const FakeLeaf&) = delete;
 
   const std::string& id() const { return id_; }
   const std::string& service() const { return service_; }
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
-  /// Requests that it has begun to work on.
+  /// Number of requests that the leaf has started to run.
   int runs() const { return runs_; }
-  /// Requests that it was told to give up because their connection went away.
-  int given_up() const { return given_up_; }
-  /// Headers of what it was sent last.
-  http::Headers heard() const {
+  /// Number of held requests that were cancelled because their connection was closed.
+  int cancelled_runs() const { return cancelled_runs_; }
+  /// Headers of the last request received.
+  http::Headers last_headers() const {
     const std::lock_guard lock(mutex_);
-    return heard_;
+    return last_headers_;
   }
-  /// From now on requests are held and never answered.
+  /// Makes the leaf hold further requests and never answer them.
   void Hold() { hold_ = true; }
-  /// From now on requests are refused unseen.
+  /// Makes the leaf refuse further requests without running them.
   void Shed() { shed_ = true; }
-  /// @return the status of the heartbeat at one control machine.
-  int Beat(const std::string& control, bool draining = false);
+  /// Sends a heartbeat to a control machine. @return its HTTP status.
+  int SendHeartbeat(const std::string& control, bool draining = false);
 
  private:
   void OnRequest(const http::HttpRequest& request, http::Responder responder);
@@ -50,25 +50,25 @@
   std::string service_;
   std::atomic<uint16_t> port_{0};
   std::atomic<int> runs_{0};
-  std::atomic<int> given_up_{0};
+  std::atomic<int> cancelled_runs_{0};
   std::atomic<bool> hold_{false};
   std::atomic<bool> shed_{false};
   std::atomic<bool> stop_{false};
   int sequence_ = 0;
   mutable std::mutex mutex_;
-  http::Headers heard_;
+  http::Headers last_headers_;
   std::thread thread_;
 };
 
 struct PlatformFleetOptions {
   int controls = 3;
-  /// Control machines that may be lost at once.
+  /// Number of control machines that may fail at once.
   int tolerated = 1;
 };
 
 class PlatformFleet {
  public:
-  /// Control machines of a fleet with the usual options.
+  /// Number of control machines of a fleet with default options.
   static constexpr int kControls = 3;
 
   PlatformFleet() : PlatformFleet(PlatformFleetOptions{}) {}
@@ -77,11 +77,11 @@
 
   void StartControl(int index, bool bootstrap);
   void StartGateway();
-  /// A gateway that no client is sent to: it works for the first one.
+  /// Starts a gateway to which no client sends requests; it merges for the first one.
   void StartSecondGateway();
-  /// One more gateway, which clients may be sent to. @return where they reach it.
-  std::string StartFurtherGateway(const std::string& name);
-  /// Starts a gateway again that was started before, at the same addresses.
+  /// Starts one more gateway for clients. @return its listen address.
+  std::string StartAdditionalGateway(const std::string& name);
+  /// Restarts a gateway at the same addresses.
   void RestartGateway(const std::string& name);
   std::string DataFolder(int index) const;
   std::string ServiceAddress(int index) const;
@@ -92,18 +92,19 @@
   const std::string& metrics_address() const { return metrics_address_; }
   const std::string& second_metrics_address() const { return second_metrics_address_; }
 
-  /// Puts a document, at any control machine, until one takes it. @return the last status.
+  /// Puts a document at the control machines in turn until one answers definitely. @return the last
+  /// status.
   int Put(const std::string& document);
-  /// Reports leafs until each has been acknowledged.
-  void Beat(const std::vector<StandInLeaf*>& leafs);
+  /// Sends heartbeats of the leafs until each is acknowledged.
+  void SendHeartbeats(const std::vector<FakeLeaf*>& leafs);
   /// Waits until the gateway answers 200 for the path.
-  void WaitServed(const std::string& path);
-  /// Waits until the gateway answers 200 for the path and leaves out no shard.
-  void WaitWhole(const std::string& path);
-  http::ClientResponse Ask(const std::string& path, int64_t deadline_ms = 2000);
-  /// The same at a gateway of the caller's choice, with more headers.
-  http::ClientResponse AskAt(const std::string& gateway, const std::string& path,
-                             const http::Headers& headers, int64_t deadline_ms = 2000);
+  void WaitUntilServed(const std::string& path);
+  /// Waits until the gateway answers 200 for the path with no shard missing.
+  void WaitForAllShards(const std::string& path);
+  http::ClientResponse SendRequest(const std::string& path, int64_t deadline_ms = 2000);
+  /// Sends a request with additional headers to any gateway.
+  http::ClientResponse SendRequestTo(const std::string& gateway, const std::string& path,
+                                     const http::Headers& headers, int64_t deadline_ms = 2000);
 
   std::map<std::string, std::unique_ptr<e2e::Process>> processes;
 
@@ -127,7 +128,7 @@
   std::string metrics_address_;
   std::string gateway_directory_address_;
   std::string second_metrics_address_;
-  int asked_ = 0;
+  int request_count_ = 0;
 };
 
 }  // namespace pumicedyke::platform
--- a/test/platform/tenant_document_test.cc
+++ b/test/platform/tenant_document_test.cc
@@ -1,5 +1,5 @@
-// Tenants in the platform's documents, and what its headers say of callers: what is read, what is
-// refused, and what leafs get.
+// Tests tenants in the platform's documents and the headers that identify callers: what is
+// accepted, what is refused, and what is passed on to leafs.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <functional>
@@ -50,9 +50,9 @@
   CPPUNIT_TEST(DocumentsWithoutTenantsNeedNoKeys);
   CPPUNIT_TEST(BadTenantsAreRefusedByNameAndField);
   CPPUNIT_TEST(KeysAreReadFromTheHeader);
-  CPPUNIT_TEST(HeadForLeafsHoldsNoWordOfTheCaller);
-  CPPUNIT_TEST(WithoutTenantsTheCallersWordsArePassedOn);
-  CPPUNIT_TEST(LeafsAreToldTheTenant);
+  CPPUNIT_TEST(CallerHeadersAreNotSentToLeafs);
+  CPPUNIT_TEST(WithoutTenantsCallerHeadersArePassedOn);
+  CPPUNIT_TEST(LeafsGetTheTenantHeader);
   CPPUNIT_TEST(UnknownKeysAreAnswered401);
   CPPUNIT_TEST_SUITE_END();
 
@@ -78,7 +78,7 @@
     CPPUNIT_ASSERT(!RouteDocumentReader().Read(document.dump())->keyed);
     document.erase("tenants");
     CPPUNIT_ASSERT(!RouteDocumentReader().Read(document.dump())->keyed);
-    // An empty list is a list: nobody has a key.
+    // An empty list of tenants still requires keys, and no key is valid.
     document["tenants"] = Json::array();
     CPPUNIT_ASSERT(RouteDocumentReader().Read(document.dump())->keyed);
   }
@@ -134,7 +134,7 @@
         const bool named = tenant.contains("name") && tenant["name"].is_string();
         const std::string name =
             named ? "'" + tenant["name"].get<std::string>() + "'" : std::to_string(index);
-        // Of two that collide either may be named.
+        // Of two conflicting tenants, either may be named.
         const bool names_one = why.find("tenant " + name) != std::string::npos ||
                                why.find("tenant 'plain'") != std::string::npos;
         CPPUNIT_ASSERT_MESSAGE(item.what + (": " + why), names_one);
@@ -176,22 +176,23 @@
     }
   }
 
-  void HeadForLeafsHoldsNoWordOfTheCaller() {
+  void CallerHeadersAreNotSentToLeafs() {
     const gateway::PayloadRequest request = Read({{"authorization", "Bearer hush-1"},
                                                   {"X-Kept", "yes"},
                                                   {"Authorization", "Basic hush-2"},
                                                   {"x-tenant", "plain"},
                                                   {"X-Tenant", "acme"}});
     CPPUNIT_ASSERT(request.encoded_head.find("\r\nX-Kept: yes\r\n") != std::string::npos);
-    for (const char* word : {"hush", "uthorization", "enant", "plain", "acme"}) {
-      CPPUNIT_ASSERT_MESSAGE(word, request.encoded_head.find(word) == std::string::npos);
+    for (const char* header_text : {"hush", "uthorization", "enant", "plain", "acme"}) {
+      CPPUNIT_ASSERT_MESSAGE(header_text,
+                             request.encoded_head.find(header_text) == std::string::npos);
       for (const http::Header& header : request.headers) {
-        CPPUNIT_ASSERT((header.name + header.value).find(word) == std::string::npos);
+        CPPUNIT_ASSERT((header.name + header.value).find(header_text) == std::string::npos);
       }
     }
   }
 
-  void WithoutTenantsTheCallersWordsArePassedOn() {
+  void WithoutTenantsCallerHeadersArePassedOn() {
     CPPUNIT_ASSERT(gateway::HeadWithCaller(Read({})) == nullptr);
     const gateway::PayloadRequest request = Read({{"Authorization", "Bearer hush-1"},
                                                   {"X-Kept", "yes"},
@@ -206,7 +207,7 @@
     CPPUNIT_ASSERT(head.find("Authorization: Bearer hush-1") < head.find("Authorization: second"));
   }
 
-  void LeafsAreToldTheTenant() {
+  void LeafsGetTheTenantHeader() {
     const GatewayDialect dialect;
     const auto request = std::make_shared<const gateway::PayloadRequest>(
         Read({{"X-Tenant", "plain"}, {"Authorization", "Bearer hush-1"}}));
--- a/test/soak/actors.cc
+++ b/test/soak/actors.cc
@@ -13,9 +13,9 @@
 constexpr char kCallerHeader[] = "Authorization";
 constexpr char kFatalCaller[] = "Bearer mallory";
 constexpr char kFatalMark[] = "fatal";
-constexpr Duration kBeatInterval = Milliseconds(800);
-/// Requests a second, and how often the fatal one comes.
-constexpr Duration kUsualInterval = Milliseconds(8);
+constexpr Duration kHeartbeatInterval = Milliseconds(800);
+/// Intervals between ordinary requests and between fatal ones.
+constexpr Duration kOrdinaryInterval = Milliseconds(8);
 constexpr Duration kFatalInterval = Milliseconds(350);
 constexpr Duration kOperatorPause = Milliseconds(300);
 constexpr Duration kClientDeadline = Milliseconds(1500);
@@ -26,15 +26,15 @@
           {"priority", 1},        {"max_attempts", 2}};
 }
 
-bool EndsLeafs(const http::HttpRequest& request) {
+bool CrashesLeafs(const http::HttpRequest& request) {
   const std::string* caller = http::FindHeader(request.headers, kCallerHeader);
   return request.path.find(kFatalMark) != std::string::npos && caller != nullptr &&
          *caller == kFatalCaller;
 }
 
-/// Now and then a leaf ends between its work and its answer, for a reason of its own: the same ones
-/// in every soak of a seed.
-bool EndsByChance(const std::string& leaf, const std::string& attempt) {
+/// Whether a leaf crashes after its work and before its answer for a reason of its own. The choice
+/// is the same in every soak with the same seed.
+bool CrashesByChance(const std::string& leaf, const std::string& attempt) {
   constexpr size_t kOneRunIn = 1500;
   return std::hash<std::string>()(leaf + "/" + attempt) % kOneRunIn == 0;
 }
@@ -72,29 +72,29 @@
 // ---- Leafs --------------------------------------------------------------------------------------
 
 Leafs::Leafs(const std::string& run, size_t shards, size_t replicas,
-             std::vector<std::string> controls, Observations* seen)
+             std::vector<std::string> controls, Observations* observations)
     : controls_(std::move(controls)) {
   for (size_t i = 0; i < shards * replicas; ++i) {
     const std::string service = ServiceName(i % shards);
     const std::string name = run + "-leaf" + std::to_string(i);
-    const auto ends = [seen, service, name](const http::HttpRequest& request) {
-      const bool fatal = EndsLeafs(request);
-      const bool ends_now = fatal || EndsByChance(name, Attempt(request));
-      if (ends_now) {
-        // It has run all the same: nobody may be told that it has not.
-        seen->OnRan(service, Attempt(request));
+    const auto crashes = [observations, service, name](const http::HttpRequest& request) {
+      const bool fatal = CrashesLeafs(request);
+      const bool crashes_now = fatal || CrashesByChance(name, Attempt(request));
+      if (crashes_now) {
+        // The request did run, so no caller may get the answer that it was not run.
+        observations->OnRan(service, Attempt(request));
       }
       if (fatal) {
-        seen->OnLeafEnded(net::EventLoop::Now(), Attempt(request));
+        observations->OnLeafCrashed(net::EventLoop::Now(), Attempt(request));
       }
-      return ends_now;
+      return crashes_now;
     };
-    const auto answered = [seen, service](const std::string& attempt) {
-      seen->OnRan(service, attempt);
+    const auto answered = [observations, service](const std::string& attempt) {
+      observations->OnRan(service, attempt);
     };
-    leafs_.push_back(std::make_unique<platform::MortalLeaf>(name, service, ends, answered));
+    leafs_.push_back(std::make_unique<platform::CrashingLeaf>(name, service, crashes, answered));
   }
-  thread_ = std::thread([this] { Beat(); });
+  thread_ = std::thread([this] { SendHeartbeats(); });
 }
 
 Leafs::~Leafs() {
@@ -102,14 +102,14 @@
   thread_.join();
 }
 
-void Leafs::Beat() {
+void Leafs::SendHeartbeats() {
   constexpr int kOk = 200;
   size_t control = 0;
   while (!stop_) {
-    const Timestamp next = net::EventLoop::Now() + kBeatInterval;
+    const Timestamp next = net::EventLoop::Now() + kHeartbeatInterval;
     for (const auto& leaf : leafs_) {
       for (size_t i = 0; i < controls_.size() && !stop_; ++i) {
-        if (leaf->Beat(controls_[control]) == kOk) {
+        if (leaf->SendHeartbeat(controls_[control]) == kOk) {
           break;
         }
         control = (control + 1) % controls_.size();
@@ -123,10 +123,10 @@
 
 // ---- Clients ------------------------------------------------------------------------------------
 
-Clients::Clients(uint64_t seed, std::vector<std::string> gateways, Observations* seen)
-    : run_("soak" + std::to_string(seed)),
+Clients::Clients(uint64_t seed, std::vector<std::string> gateways, Observations* observations)
+    : id_prefix_("soak" + std::to_string(seed)),
       gateways_(std::move(gateways)),
-      seen_(seen),
+      observations_(observations),
       random_(seed),
       thread_([this] { Run(); }) {}
 
@@ -140,8 +140,8 @@
   http::HttpClient client(&loop, {});
   loop_ = &loop;
   client_ = &client;
-  AskUsual();
-  AskFatal();
+  SendOrdinaryRequest();
+  SendFatalRequest();
   loop.Run([this, &loop](Timestamp now) {
     if (stop_ && client_->in_flight() == 0) {
       loop.Stop();
@@ -154,34 +154,35 @@
   return gateways_[std::uniform_int_distribution<size_t>(0, gateways_.size() - 1)(random_)];
 }
 
-void Clients::AskUsual() {
+void Clients::SendOrdinaryRequest() {
   if (stop_) {
     return;
   }
   SentRequest request;
   request.gathers = random_() % 2 == 0;
   const std::string path = request.gathers ? "/all/" : "/one/";
-  // One in four is the very path of the fatal request, for somebody else.
+  // One in four has the path of the fatal request but another caller.
   const bool same_path = random_() % 4 == 0;
-  Ask(request, path + (same_path ? std::string(kFatalMark) : std::to_string(random_())),
-      "Bearer alice");
-  loop_->RunAt(net::EventLoop::Now() + kUsualInterval, [this] { AskUsual(); });
+  SendRequest(request, path + (same_path ? std::string(kFatalMark) : std::to_string(random_())),
+              "Bearer alice");
+  loop_->RunAt(net::EventLoop::Now() + kOrdinaryInterval, [this] { SendOrdinaryRequest(); });
 }
 
-void Clients::AskFatal() {
+void Clients::SendFatalRequest() {
   if (stop_) {
     return;
   }
   SentRequest request;
   request.gathers = true;
   request.fatal = true;
-  Ask(request, std::string("/all/") + kFatalMark, kFatalCaller);
-  loop_->RunAt(net::EventLoop::Now() + kFatalInterval, [this] { AskFatal(); });
+  SendRequest(request, std::string("/all/") + kFatalMark, kFatalCaller);
+  loop_->RunAt(net::EventLoop::Now() + kFatalInterval, [this] { SendFatalRequest(); });
 }
 
-void Clients::Ask(const SentRequest& request, const std::string& path, const std::string& caller) {
+void Clients::SendRequest(const SentRequest& request, const std::string& path,
+                          const std::string& caller) {
   SentRequest sent = request;
-  sent.id = run_ + "-" + std::to_string(++asked_);
+  sent.id = id_prefix_ + "-" + std::to_string(++request_count_);
   http::ClientRequest call;
   call.address = AnyGateway();
   call.path = path;
@@ -192,17 +193,19 @@
                   {kCallerHeader, caller}};
   call.timeout = 2 * kClientDeadline;
   client_->Start(std::move(call), [this, sent](const http::ClientResponse& response) {
-    seen_->OnResponse(sent, response);
+    observations_->OnResponse(sent, response);
   });
 }
 
 // ---- The operator -------------------------------------------------------------------------------
 
 Operator::Operator(uint64_t seed, std::vector<std::string> controls, size_t shards,
-                   Observations* seen)
-    : controls_(std::move(controls)), shards_(shards), seen_(seen), random_(seed), thread_([this] {
-        Run();
-      }) {}
+                   Observations* observations)
+    : controls_(std::move(controls)),
+      shards_(shards),
+      observations_(observations),
+      random_(seed),
+      thread_([this] { Run(); }) {}
 
 Operator::~Operator() {
   stop_ = true;
@@ -226,7 +229,7 @@
   const std::string document = DocumentOf(++version_, shards_);
   while (!stop_) {
     if (e2e::Post(AnyControl(), "/v1/config/put", document).status == kOk) {
-      seen_->OnAcknowledged(version_);
+      observations_->OnAcknowledged(version_);
       return;
     }
   }
@@ -234,11 +237,11 @@
 
 void Operator::Read() {
   constexpr int kOk = 200;
-  const uint64_t before = seen_->acknowledged();
+  const uint64_t before = observations_->acknowledged();
   const http::ClientResponse response = e2e::Get(AnyControl(), "/v1/config/get");
   const Json json = Json::parse(response.body, nullptr, /*allow_exceptions=*/false);
   if (response.status == kOk && json.is_object()) {
-    seen_->OnRead(json.value("version", uint64_t{0}), before);
+    observations_->OnRead(json.value("version", uint64_t{0}), before);
   }
 }
 
--- a/test/soak/actors.h
+++ b/test/soak/actors.h
@@ -1,5 +1,5 @@
-// Clients that keep their connections, an operator, and leafs, of a soak. Each runs on a thread of
-// its own until it is stopped.
+// The clients, the operator and the leafs of a soak. Each of them runs on its own thread until it
+// is stopped.
 #pragma once
 
 #include <atomic>
@@ -17,58 +17,58 @@
 
 namespace pumicedyke::soak {
 
-/// The routes and services that a soak works with.
+/// Returns the route document of a soak.
 std::string DocumentOf(uint64_t version, size_t shards);
 std::string ServiceName(size_t shard);
 
 /// Leafs of every shard, and their heartbeats.
 class Leafs {
  public:
-  /// @param run names the soak: leafs of two that run side by side must not be taken for each
-  /// other.
+  /// @param run name of the soak, so that leafs of parallel soaks have different names.
   Leafs(const std::string& run, size_t shards, size_t replicas, std::vector<std::string> controls,
-        Observations* seen);
+        Observations* observations);
   ~Leafs();
 
  private:
-  void Beat();
+  void SendHeartbeats();
 
   const std::vector<std::string> controls_;
-  std::vector<std::unique_ptr<platform::MortalLeaf>> leafs_;
+  std::vector<std::unique_ptr<platform::CrashingLeaf>> leafs_;
   std::atomic<bool> stop_{false};
   std::thread thread_;
 };
 
-/// Clients that ask all gateways on connections that they keep until the gateway is gone. One of
-/// them asks again and again for what ends leafs.
+/// Clients that send requests to all gateways over persistent connections. One of them repeats a
+/// request that crashes leafs.
 class Clients {
  public:
-  Clients(uint64_t seed, std::vector<std::string> gateways, Observations* seen);
+  Clients(uint64_t seed, std::vector<std::string> gateways, Observations* observations);
   ~Clients();
 
  private:
   void Run();
-  void AskUsual();
-  void AskFatal();
-  void Ask(const SentRequest& request, const std::string& path, const std::string& caller);
+  void SendOrdinaryRequest();
+  void SendFatalRequest();
+  void SendRequest(const SentRequest& request, const std::string& path, const std::string& caller);
   const std::string& AnyGateway();
 
-  /// Begins the ids of requests.
-  const std::string run_;
+  /// Prefix of request ids.
+  const std::string id_prefix_;
   const std::vector<std::string> gateways_;
-  Observations* seen_;
+  Observations* observations_;
   std::mt19937_64 random_;
-  uint64_t asked_ = 0;
+  uint64_t request_count_ = 0;
   std::atomic<bool> stop_{false};
   net::EventLoop* loop_ = nullptr;
   http::HttpClient* client_ = nullptr;
   std::thread thread_;
 };
 
-/// Puts documents, each until it is taken, and reads back.
+/// Puts documents, repeating each until it is accepted, and reads them back.
 class Operator {
  public:
-  Operator(uint64_t seed, std::vector<std::string> controls, size_t shards, Observations* seen);
+  Operator(uint64_t seed, std::vector<std::string> controls, size_t shards,
+           Observations* observations);
   ~Operator();
 
  private:
@@ -79,7 +79,7 @@
 
   const std::vector<std::string> controls_;
   const size_t shards_;
-  Observations* seen_;
+  Observations* observations_;
   std::mt19937_64 random_;
   uint64_t version_ = 1;
   std::atomic<bool> stop_{false};
--- a/test/soak/faults.h
+++ b/test/soak/faults.h
@@ -1,6 +1,6 @@
-// Brings faults upon the processes of a soak, seeded: in series, and overlapping. What may not be
-// lost at once is not: two control machines at most are down or recovering, except that all may be
-// killed at the same moment while they keep their disks.
+// Injects seeded faults into the processes of a soak, in series and overlapping, within what the
+// cluster tolerates. At most two control machines are down or recovering at once, except that all
+// may be killed at the same time if they keep their disks.
 #pragma once
 
 #include <functional>
@@ -17,32 +17,33 @@
 
 struct FaultOptions {
   int controls = 5;
-  /// Control machines that may be down or recovering at once.
+  /// Number of control machines that may be down or recovering at once.
   int tolerated = 2;
   std::vector<std::string> gateways;
 };
 
-/// Lives on one thread, which also owns the fleet's processes.
+/// Must be used on one thread, which also owns the fleet's processes.
 class Faults {
  public:
-  Faults(uint64_t seed, FaultOptions options, platform::PlatformFleet* fleet, Observations* seen);
+  Faults(uint64_t seed, FaultOptions options, platform::PlatformFleet* fleet,
+         Observations* observations);
 
-  /// Brings what is due, undoes what is over. Call often.
+  /// Injects faults that are due and ends those that are over. Must be called often.
   void Step(Timestamp now);
-  /// Ends every fault; all processes run afterwards.
-  void HealAll();
-  /// Fails the soak if a process ended by itself.
-  void LookForDeaths();
-  /// How often each kind was brought.
-  const std::map<std::string, int>& brought() const { return brought_; }
+  /// Ends all faults; all processes run afterwards.
+  void EndAllFaults();
+  /// Fails the soak if a process exited by itself.
+  void CheckForCrashes();
+  /// Number of injected faults of each kind.
+  const std::map<std::string, int>& injected() const { return injected_; }
 
  private:
-  void Bring(Timestamp now);
+  void Inject(Timestamp now);
   // Gateways.
   void PauseGateway(Timestamp now);
   void KillGateway(Timestamp now);
   void StopGateway(Timestamp now);
-  void SeriesOfHangups();
+  void HangupSeries();
   // Control machines.
   void PauseControl(Timestamp now);
   void KillControl(Timestamp now);
@@ -51,24 +52,24 @@
   void KillAllControls(Timestamp now);
 
   void Pause(Timestamp now, const std::string& process);
-  /// Sends the signal and starts the process again later.
-  void End(Timestamp now, const std::string& process, int signal);
-  void StartAgain(const std::string& process);
-  std::string FreeGateway();
-  /// A control machine that may be lost now; empty: none.
-  std::string SpareControl(Timestamp now);
-  void Later(Timestamp when, std::function<void()> undo);
-  Duration Between(int64_t low_ms, int64_t high_ms);
+  /// Sends a signal that ends the process, and restarts it later.
+  void TerminateAndRestart(Timestamp now, const std::string& process, int signal);
+  void RestartProcess(const std::string& process);
+  std::string PickGateway();
+  /// Picks a control machine that may fail now; empty: none.
+  std::string PickControl(Timestamp now);
+  void ScheduleUndo(Timestamp when, std::function<void()> undo);
+  Duration RandomDuration(int64_t low_ms, int64_t high_ms);
 
   FaultOptions options_;
   platform::PlatformFleet* fleet_;
-  Observations* seen_;
+  Observations* observations_;
   std::mt19937_64 random_;
   Timestamp next_{};
-  std::multimap<Timestamp, std::function<void()>> undo_;
-  /// Processes under a fault, and until when they count so.
+  std::multimap<Timestamp, std::function<void()>> pending_undos_;
+  /// Processes under a fault or recovering from one, with the time when they are free again.
   std::map<std::string, Timestamp> busy_;
-  std::map<std::string, int> brought_;
+  std::map<std::string, int> injected_;
 };
 
 }  // namespace pumicedyke::soak
--- a/test/soak/soak_main.cc
+++ b/test/soak/soak_main.cc
@@ -1,6 +1,6 @@
-// A soak: real control machines and gateways on loopback under seeded faults, with leafs, clients
-// and an operator that watch what was promised. The last line is a JSON summary; exit code 0 if all
-// promises held, 1 if one broke.
+// Soak test: real control machines and gateways on loopback under seeded faults, with leafs,
+// clients and an operator that check the guarantees. The last line of output is a JSON summary. The
+// exit code is 0 if all guarantees held, else 1.
 #include <cppunit/Exception.h>
 #include <gflags/gflags.h>
 
@@ -14,24 +14,24 @@
 #include "soak/observations.h"
 
 DEFINE_uint64(seed, 1, "seed of faults and requests");
-DEFINE_int32(seconds, 30, "how long faults are brought");
+DEFINE_int32(seconds, 30, "how long faults are injected");
 DEFINE_int32(gateways, 6, "gateways");
-DEFINE_int32(controls, 5, "control machines; an odd number");
-DEFINE_int32(shards, 8, "shards of a gather, two leafs each");
+DEFINE_int32(controls, 5, "number of control machines; must be odd");
+DEFINE_int32(shards, 8, "number of shards of a gather, with two leafs each");
 
 namespace pumicedyke::soak {
 namespace {
 
 constexpr size_t kReplicas = 2;
 constexpr Duration kStep = Milliseconds(10);
-/// After everything has healed.
+/// Time allowed for recovery after all faults have ended.
 constexpr Duration kRecovery = Seconds(20);
 
-/// All that a soak consists of, in the order in which it is made.
+/// The parts of a soak, in the order of their creation.
 class Soak {
  public:
   Soak()
-      : seen_(static_cast<size_t>(FLAGS_shards)),
+      : observations_(static_cast<size_t>(FLAGS_shards)),
         fleet_({.controls = FLAGS_controls, .tolerated = FLAGS_controls / 2}) {
     for (int i = 0; i < FLAGS_controls; ++i) {
       controls_.push_back(fleet_.ServiceAddress(i));
@@ -40,78 +40,79 @@
     names_ = {"gateway"};
     for (int i = 1; i < FLAGS_gateways; ++i) {
       names_.push_back("gateway" + std::to_string(i + 2));
-      addresses_.push_back(fleet_.StartFurtherGateway(names_.back()));
+      addresses_.push_back(fleet_.StartAdditionalGateway(names_.back()));
     }
     fleet_.Put(DocumentOf(1, static_cast<size_t>(FLAGS_shards)));
-    seen_.OnAcknowledged(1);
+    observations_.OnAcknowledged(1);
   }
 
   Json Run() {
     const Leafs leafs("seed" + std::to_string(FLAGS_seed), static_cast<size_t>(FLAGS_shards),
-                      kReplicas, controls_, &seen_);
+                      kReplicas, controls_, &observations_);
     WaitForAll();
-    Faults faults(FLAGS_seed, {FLAGS_controls, FLAGS_controls / 2, names_}, &fleet_, &seen_);
+    Faults faults(FLAGS_seed, {FLAGS_controls, FLAGS_controls / 2, names_}, &fleet_,
+                  &observations_);
     {
-      const Clients clients(FLAGS_seed + 1, addresses_, &seen_);
+      const Clients clients(FLAGS_seed + 1, addresses_, &observations_);
       const Operator operators(FLAGS_seed + 2, controls_, static_cast<size_t>(FLAGS_shards),
-                               &seen_);
+                               &observations_);
       const Timestamp end = net::EventLoop::Now() + Seconds(FLAGS_seconds);
       while (net::EventLoop::Now() < end) {
         faults.Step(net::EventLoop::Now());
         std::this_thread::sleep_for(kStep);
       }
-      faults.HealAll();
+      faults.EndAllFaults();
     }
     WaitForAll();
     ReadBack();
-    faults.LookForDeaths();
-    seen_.CheckAtEnd();
-    Json summary = seen_.Summary();
+    faults.CheckForCrashes();
+    observations_.CheckAtEnd();
+    Json summary = observations_.Summary();
     summary["seed"] = FLAGS_seed;
     summary["seconds"] = FLAGS_seconds;
-    summary["faults"] = faults.brought();
-    summary["held"] = seen_.held();
+    summary["faults"] = faults.injected();
+    summary["held"] = observations_.held();
     return summary;
   }
 
  private:
-  /// Every gateway has to serve a whole gather, to whoever sends no fatal request.
+  /// Waits until every gateway serves a complete gather; fails the soak after kRecovery.
   void WaitForAll() {
     const Timestamp latest = net::EventLoop::Now() + kRecovery;
     for (const std::string& gateway : addresses_) {
-      while (!ServesWhole(gateway)) {
+      while (!ServesAllShards(gateway)) {
         if (net::EventLoop::Now() >= latest) {
-          seen_.Fail("the gateway at " + gateway + " does not serve all shards again");
+          observations_.Fail("the gateway at " + gateway + " does not serve all shards again");
           return;
         }
         std::this_thread::sleep_for(kStep);
       }
     }
   }
-  bool ServesWhole(const std::string& gateway) {
+  bool ServesAllShards(const std::string& gateway) {
     const http::ClientResponse response =
-        fleet_.AskAt(gateway, "/all/whole", {{"Authorization", "Bearer probe"}});
+        fleet_.SendRequestTo(gateway, "/all/whole", {{"Authorization", "Bearer probe"}});
     const std::string* missing = http::FindHeader(response.headers, "X-Missing-Parts");
     return response.status == 200 && missing != nullptr && *missing == "0";
   }
-  /// What was acknowledged has to be there.
+  /// Checks that the acknowledged configuration can be read.
   void ReadBack() {
-    const uint64_t acknowledged = seen_.acknowledged();
+    const uint64_t acknowledged = observations_.acknowledged();
     const Timestamp latest = net::EventLoop::Now() + kRecovery;
     while (net::EventLoop::Now() < latest) {
       for (const std::string& control : controls_) {
         const http::ClientResponse response = e2e::Get(control, "/v1/config/get");
         const Json json = Json::parse(response.body, nullptr, /*allow_exceptions=*/false);
         if (response.status == 200 && json.is_object()) {
-          seen_.OnRead(json.value("version", uint64_t{0}), acknowledged);
+          observations_.OnRead(json.value("version", uint64_t{0}), acknowledged);
           return;
         }
       }
     }
-    seen_.Fail("the configuration can't be read back");
+    observations_.Fail("the configuration cannot be read back");
   }
 
-  Observations seen_;
+  Observations observations_;
   platform::PlatformFleet fleet_;
   std::vector<std::string> controls_;
   std::vector<std::string> addresses_;
