--- a/src/programs/pumicectl_main.cc
+++ b/src/programs/pumicectl_main.cc
@@ -23,7 +23,8 @@
 #include "query/messages.h"
 #include "server/process.h"
 
-DEFINE_string(control, "127.0.0.1:7200", "operators' addresses of the control machines, by commas");
+DEFINE_string(control, "127.0.0.1:7200",
+              "operator addresses of the control machines, separated by commas");
 DEFINE_string(node, "127.0.0.1:7300", "address of a node, for the command query");
 DEFINE_string(token_file, "", "file with the operators' token");
 DEFINE_bool(json, false, "print the answer as JSON");
@@ -33,7 +34,7 @@
 DEFINE_string(key, "", "Idempotency-Key of the query");
 DEFINE_string(continuation, "", "continuation token of an earlier partial answer");
 DEFINE_double(deadline_ms, 0, "deadline of the query");
-DEFINE_bool(stop, false, "evacuate: takes the evacuation of the zone back");
+DEFINE_bool(stop, false, "evacuate: ends the evacuation of the zone");
 DEFINE_double(timeout_s, 15, "how long to try the control machines");
 
 namespace pumicedyke {
@@ -70,15 +71,15 @@
   return "Bearer " + std::string(absl::StripAsciiWhitespace(ReadFile(FLAGS_token_file, &ok)));
 }
 
-std::string FreshSubmissionId() {
+std::string NewSubmissionId() {
   std::random_device device;
   std::ostringstream id;
   id << "cli-" << std::hex << device() << device() << device();
   return id.str();
 }
 
-/// Answers that another control machine, or the same a little later, may better.
-bool WorthAnotherTry(const http::ClientResponse& response) {
+/// Whether another control machine, or a later retry, may give a definite answer.
+bool IsRetryable(const http::ClientResponse& response) {
   const Json json = Json::parse(response.body, nullptr, /*allow_exceptions=*/false);
   const int code = json.is_object() ? json.value("code", 0) : -1;
   return !response.ok() || code == static_cast<int>(ResultCode::kNoQuorum) ||
@@ -86,14 +87,14 @@
          code == static_cast<int>(ResultCode::kShuttingDown);
 }
 
-/// Asks the control machines in turn until one gives a definite answer. A change is resent under
-/// its submission id, so that it takes effect once however often it is sent.
-http::ClientResponse AskControl(const std::string& path, const std::string& body) {
+/// Sends a request to the control machines in turn until one gives a definite answer. A change is
+/// resent under its submission id, so that it takes effect only once.
+http::ClientResponse CallControl(const std::string& path, const std::string& body) {
   const Arguments addresses = absl::StrSplit(FLAGS_control, ',', absl::SkipEmpty());
-  const Timestamp give_up =
+  const Timestamp retry_until =
       net::EventLoop::Now() + Milliseconds(static_cast<int64_t>(FLAGS_timeout_s * 1000));
   http::ClientResponse response;
-  while (net::EventLoop::Now() < give_up) {
+  while (net::EventLoop::Now() < retry_until) {
     for (const std::string& address : addresses) {
       http::ClientRequest request;
       request.address = address;
@@ -101,7 +102,7 @@
       request.body = body;
       request.authorization = Authorization();
       response = http::FetchBlocking(request);
-      if (!WorthAnotherTry(response)) {
+      if (!IsRetryable(response)) {
         return response;
       }
     }
@@ -111,7 +112,7 @@
 }
 
 int ExitCodeOf(const http::ClientResponse& response, const Json& json) {
-  if (!response.ok() || WorthAnotherTry(response)) {
+  if (!response.ok() || IsRetryable(response)) {
     return static_cast<int>(ExitCode::kUnavailable);
   }
   const int code = json.value("code", 0);
@@ -140,11 +141,11 @@
 }
 
 int Submit(Json change) {
-  change["submission_id"] = FLAGS_submission_id.empty() ? FreshSubmissionId() : FLAGS_submission_id;
+  change["submission_id"] = FLAGS_submission_id.empty() ? NewSubmissionId() : FLAGS_submission_id;
   if (FLAGS_expect >= 0) {
     change["expected_revision"] = FLAGS_expect;
   }
-  return PrintChange(AskControl("/v1/changes", change.dump()));
+  return PrintChange(CallControl("/v1/changes", change.dump()));
 }
 
 int SubmitFromFile(const std::string& kind, const std::string& service, const std::string& path) {
@@ -224,7 +225,7 @@
 }
 
 int ShowConfig(const Arguments& /*arguments*/) {
-  const http::ClientResponse response = AskControl("/v1/config", "");
+  const http::ClientResponse response = CallControl("/v1/config", "");
   const Json json = Json::parse(response.body, nullptr, /*allow_exceptions=*/false);
   if (!json.is_object()) {
     return Fail(ExitCode::kUnavailable, "no control machine answered");
@@ -273,7 +274,7 @@
 }
 
 int ShowTenants(const Arguments& /*arguments*/) {
-  const http::ClientResponse response = AskControl("/v1/config", "");
+  const http::ClientResponse response = CallControl("/v1/config", "");
   const Json json = Json::parse(response.body, nullptr, /*allow_exceptions=*/false);
   if (!json.is_object()) {
     return Fail(ExitCode::kUnavailable, "no control machine answered");
@@ -288,7 +289,7 @@
     return 0;
   }
   if (tenants.is_null()) {
-    std::cout << "there are no tenants: nobody needs a key\n";
+    std::cout << "there are no tenants: no key is required\n";
     return 0;
   }
   for (const Json& tenant : tenants) {
@@ -328,7 +329,7 @@
   }
   const bool refused = answer.code != ResultCode::kOk && answer.code != ResultCode::kPartial;
   if (refused) {
-    std::cout << "  run: " << query::RunStateName(answer.run) << ", come back in "
+    std::cout << "  run: " << query::RunStateName(answer.run) << ", retry after "
               << ToMilliseconds(answer.retry_after) << " ms\n";
   }
   if (!answer.continuation.empty()) {
@@ -399,26 +400,28 @@
       {"publish",
        {"publish SERVICE FILE", "publishes a snapshot with its partition map (JSON)", 2,
         [](const Arguments& a) { return SubmitFromFile("publish_snapshot", a[0], a[1]); }}},
-      {"put-policy", {"put-policy SERVICE FILE", "puts a policy program in force", 2, &PutPolicy}},
-      {"check-policy", {"check-policy FILE", "tries a policy program here", 1, &CheckPolicy}},
+      {"put-policy",
+       {"put-policy SERVICE FILE", "sets the policy program of a service", 2, &PutPolicy}},
+      {"check-policy", {"check-policy FILE", "checks a policy program locally", 1, &CheckPolicy}},
       {"mark-leaving",
        {"mark-leaving LEAF", "sends no new work to a leaf", 1,
         [](const Arguments& a) { return Mark("mark_leaving", a[0]); }}},
       {"clear-leaving",
-       {"clear-leaving LEAF", "takes the mark back", 1,
+       {"clear-leaving LEAF", "removes the mark of mark-leaving", 1,
         [](const Arguments& a) { return Mark("clear_leaving", a[0]); }}},
       {"evacuate",
-       {"evacuate [--stop] ZONE", "sends nothing more to the leafs of a zone", 1, &Evacuate}},
+       {"evacuate [--stop] ZONE", "sends no more requests to the leafs of a zone", 1, &Evacuate}},
       {"quarantine",
        {"quarantine IDENTITY", "sends a request (see 'identity' in the logs) to no leaf", 1,
         &Quarantine}},
-      {"release", {"release IDENTITY", "lets a stopped request go again", 1, &Release}},
+      {"release", {"release IDENTITY", "lets a stopped request run again", 1, &Release}},
       {"status", {"status", "shows the control machines", 0, &ShowStatus}},
       {"config", {"config", "shows the configuration, read from a quorum", 0, &ShowConfig}},
       {"put-tenants",
-       {"put-tenants FILE|none", "who may ask nodes (JSON list); none: anybody", 1, &PutTenants}},
+       {"put-tenants FILE|none", "sets the tenants of nodes (JSON list); none: no keys needed", 1,
+        &PutTenants}},
       {"tenants", {"tenants", "shows tenants and their limits, never their keys", 0, &ShowTenants}},
-      {"query", {"query SERVICE TEXT", "asks a node (--node)", 2, &Query}},
+      {"query", {"query SERVICE TEXT", "sends a query to a node (--node)", 2, &Query}},
   };
   return *commands;
 }
@@ -432,7 +435,7 @@
   }
   out << "\nflags: --control, --node, --token_file, --json, --expect, --submission_id,\n"
          "       --request_class, --key, --continuation, --deadline_ms, --timeout_s, --stop\n"
-         "exit codes: 0 done, 2 usage, 4 nobody answered, 5 refused\n";
+         "exit codes: 0 done, 2 usage, 4 no answer, 5 refused\n";
   return 0;
 }
 
--- a/src/programs/pumicedyke_bench_main.cc
+++ b/src/programs/pumicedyke_bench_main.cc
@@ -1,5 +1,6 @@
-// Benchmarks in simulated time: `run SCENARIO`, `compare A.json B.json`; and of what a change costs
-// a gateway, `changes`, and what tenants' limits cost, `limits`. docs/PERFORMANCE.md.
+// Benchmarks. `run SCENARIO` and `compare A.json B.json` use simulated time; `changes` measures the
+// cost of a leaf change at a gateway, and `limits` the cost of tenants' limits.
+// docs/PERFORMANCE.md.
 #include <gflags/gflags.h>
 
 #include <atomic>
@@ -20,15 +21,15 @@
 #include "bench/report.h"
 #include "policy/policy_program.h"
 
-DEFINE_string(loads, "0.3,0.6,0.8,1.0,1.3", "offered loads, as shares of the slots");
+DEFINE_string(loads, "0.3,0.6,0.8,1.0,1.3", "offered loads, as fractions of the slots");
 DEFINE_int32(seeds, 3, "runs of each variant and load, with seeds from 1");
 DEFINE_double(length_s, 20, "measured length of a run, simulated seconds");
-DEFINE_string(policy, "", "policy program in place of the scenario's");
-DEFINE_string(compare, "wait-for-all,naive-retry,fixed-hedge,oracle", "baselines run besides");
+DEFINE_string(policy, "", "policy program that replaces the scenario's");
+DEFINE_string(compare, "wait-for-all,naive-retry,fixed-hedge,oracle", "baselines to compare with");
 DEFINE_string(disturb, "none", "none, lost-replica, frozen-replica or burst");
-DEFINE_string(out, "", "writes OUT.json and OUT.html");
-DEFINE_int32(threads, 0, "threads; 0: one a core");
-DEFINE_bool(quiet, false, "no progress");
+DEFINE_string(out, "", "prefix of the output files OUT.json and OUT.html");
+DEFINE_int32(threads, 0, "number of threads; 0: one per core");
+DEFINE_bool(quiet, false, "print no progress");
 
 namespace pumicedyke::bench {
 namespace {
--- a/src/programs/pumicedyke_control_main.cc
+++ b/src/programs/pumicedyke_control_main.cc
@@ -1,4 +1,4 @@
-// One control machine. See docs/OPERATIONS.md.
+// The control program: runs one control machine. See docs/OPERATIONS.md.
 #include <gflags/gflags.h>
 
 #include <csignal>
@@ -21,7 +21,7 @@
 DEFINE_string(data_folder, "", "folder of this machine's state");
 DEFINE_string(port_file, "", "file to write the ports to");
 DEFINE_string(machines, "", "name=IP:port of every control machine, separated by commas");
-DEFINE_string(snapshot_log_bytes, "", "log size that makes a snapshot");
+DEFINE_string(snapshot_log_bytes, "", "log size that triggers a snapshot");
 DEFINE_string(election_timeout_ms, "", "shortest election timeout");
 
 int main(int argc, char** argv) {
--- a/src/programs/pumicedyke_free_port_main.cc
+++ b/src/programs/pumicedyke_free_port_main.cc
@@ -1,4 +1,4 @@
-// Prints a TCP port of loopback that is free now; for test fleets whose processes must know each
+// Prints a currently free TCP port on loopback, for test fleets whose processes must know each
 // other's ports before they start.
 #include <arpa/inet.h>
 #include <netinet/in.h>
--- a/src/programs/pumicedyke_gateway_main.cc
+++ b/src/programs/pumicedyke_gateway_main.cc
@@ -1,4 +1,5 @@
-// One gateway: passes clients' requests on to leafs. See docs/OPERATIONS.md.
+// The gateway program: runs one gateway, which forwards clients' requests to leafs. See
+// docs/OPERATIONS.md.
 #include <gflags/gflags.h>
 
 #include <csignal>
--- a/src/programs/pumicedyke_leaf_main.cc
+++ b/src/programs/pumicedyke_leaf_main.cc
@@ -1,4 +1,4 @@
-// Stand-in for a back end, for tests, demos and benchmarks; not part of the product.
+// Test back end for tests, demos and benchmarks. Not part of the product.
 #include <gflags/gflags.h>
 
 #include "common/log.h"
@@ -9,10 +9,10 @@
 DEFINE_string(name, "leaf", "id of this leaf");
 DEFINE_string(listen, "127.0.0.1:0", "IP:port");
 DEFINE_string(port_file, "", "file to write the port to");
-DEFINE_uint32(slots, 2, "requests it runs at once");
+DEFINE_uint32(slots, 2, "requests that run at once");
 DEFINE_double(median_ms, 4, "median service time");
 DEFINE_double(sigma, 0.4, "sigma of the log-normal service time");
-DEFINE_double(straggler_share, 0.01, "share of sub-requests that straggle");
+DEFINE_double(straggler_share, 0.01, "fraction of sub-requests that are stragglers");
 DEFINE_double(pause_ms, 0, "length of a pause every ten seconds");
 DEFINE_double(cold_s, 0, "seconds of a cold start");
 DEFINE_uint64(seed, 1, "seed of the model");
--- a/src/programs/pumicedyke_node_main.cc
+++ b/src/programs/pumicedyke_node_main.cc
@@ -1,4 +1,4 @@
-// One node, the process beside a caller. See docs/OPERATIONS.md.
+// The node program: runs one node next to a caller. See docs/OPERATIONS.md.
 #include <gflags/gflags.h>
 
 #include <iostream>
@@ -18,11 +18,11 @@
 DEFINE_string(port_file, "", "file to write the port to");
 DEFINE_string(control, "", "IP:port of the control machines, separated by commas");
 DEFINE_string(platform, "", "IP:port of the platform's list of machines");
-DEFINE_string(max_connections_per_leaf, "", "bound of the connection pool per leaf");
-DEFINE_string(max_in_progress, "", "requests in progress beyond which new ones are refused");
+DEFINE_string(max_connections_per_leaf, "", "maximum number of connections per leaf");
+DEFINE_string(max_in_progress, "", "maximum number of requests in progress; more are refused");
 DEFINE_string(max_config_age_ms, "",
-              "age of the configuration beyond which work is refused; 0: never");
-DEFINE_string(drain_grace_ms, "", "a stopping node goes on serving for at least this long");
+              "configuration age above which requests are refused; 0: never");
+DEFINE_string(drain_grace_ms, "", "minimum time that a stopping node continues to serve");
 
 int main(int argc, char** argv) {
   using namespace pumicedyke;  // NOLINT
--- a/src/programs/pumicedyke_platform_main.cc
+++ b/src/programs/pumicedyke_platform_main.cc
@@ -1,4 +1,4 @@
-// Stand-in for the platform's list of live and leaving machines; not part of the product.
+// Test server of the platform's list of live and leaving machines. Not part of the product.
 #include <gflags/gflags.h>
 
 #include <set>
--- a/src/programs/pumicedyke_sim_main.cc
+++ b/src/programs/pumicedyke_sim_main.cc
@@ -1,4 +1,5 @@
-// Seeded simulation of a cluster under failures, on the product's decision code. docs/PROOF.md.
+// Seeded simulation of a cluster under failures, running the product's decision code.
+// docs/PROOF.md.
 #include <gflags/gflags.h>
 
 #include <atomic>
@@ -18,18 +19,18 @@
 DEFINE_bool(list, false, "list scenarios and mechanisms");
 DEFINE_string(scenario, "all", "scenario, or all");
 DEFINE_string(seeds, "1-20", "first and last seed, A-B");
-DEFINE_string(without, "", "mechanism to switch off");
+DEFINE_string(without, "", "mechanism to disable");
 DEFINE_bool(trace, false, "print the whole trace of each run");
-DEFINE_int32(threads, 0, "threads; 0: one a core");
+DEFINE_int32(threads, 0, "number of threads; 0: one per core");
 DEFINE_bool(first, false, "stop at the first violation");
 DEFINE_string(known_red, "",
-              "violations that are printed and passed over, SCENARIO/SEED/INVARIANT by commas");
+              "violations to print and ignore, SCENARIO/SEED/INVARIANT separated by commas");
 
 namespace pumicedyke::sim {
 namespace {
 
-constexpr int kHolds = 0;
-constexpr int kBroken = 1;
+constexpr int kNoViolations = 0;
+constexpr int kViolationsFound = 1;
 constexpr int kUsage = 2;
 constexpr size_t kTraceLines = 25;
 
@@ -58,7 +59,7 @@
     std::cout << "  " << mechanism.name << " [" << InvariantName(mechanism.guards) << ", shown by "
               << mechanism.scenario << "]: " << mechanism.what << "\n";
   }
-  return kHolds;
+  return kNoViolations;
 }
 
 int Usage(const std::string& what) {
@@ -66,17 +67,17 @@
   return kUsage;
 }
 
-/// Names one violation in `--known_red`.
-std::string NameOf(const RunResult& result, const Violation& violation) {
+/// Returns the name of a violation in `--known_red`.
+std::string ViolationName(const RunResult& result, const Violation& violation) {
   return result.scenario + "/" + std::to_string(result.seed) + "/" +
          std::string(InvariantName(violation.invariant));
 }
 
-/// Takes the known violations out of the result and prints their names.
-void PassOverKnown(const std::set<std::string>& known, RunResult* result) {
+/// Removes the known violations from the result and prints their names.
+void RemoveKnownViolations(const std::set<std::string>& known, RunResult* result) {
   std::set<std::string> found;
   std::erase_if(result->violations, [&](const Violation& violation) {
-    const std::string name = NameOf(*result, violation);
+    const std::string name = ViolationName(*result, violation);
     const bool is_known = known.contains(name);
     if (is_known) {
       found.insert(name);
@@ -88,7 +89,7 @@
   }
 }
 
-void PrintBroken(const RunResult& result) {
+void PrintViolation(const RunResult& result) {
   const Violation& first = result.violations.front();
   std::cout << "BROKEN " << InvariantName(first.invariant) << " in " << result.scenario
             << " with seed " << result.seed << ": " << first.what << "\n";
@@ -108,13 +109,13 @@
     for (size_t i = next++; i < jobs.size() && !stop; i = next++) {
       RunResult result = RunScenario(*jobs[i].scenario, jobs[i].seed, disabled, FLAGS_trace);
       const std::lock_guard lock(mutex);
-      PassOverKnown(known, &result);
+      RemoveKnownViolations(known, &result);
       ++totals.runs;
       totals.events += result.events;
       totals.calls += result.calls;
       totals.complete += result.complete_answers;
       totals.changes += result.changes;
-      // Independent of the order in which threads finish.
+      // A sum does not depend on the order in which threads finish.
       totals.trace_hash += result.trace_hash;
       if (FLAGS_trace) {
         std::cout << result.full_trace;
@@ -123,7 +124,7 @@
         ++totals.violations[std::string(InvariantName(violation.invariant))];
       }
       if (!result.violations.empty()) {
-        PrintBroken(result);
+        PrintViolation(result);
         stop = FLAGS_first;
       }
     }
@@ -184,7 +185,7 @@
                      {"trace_hash", totals.trace_hash},
                      {"violations", totals.violations}};
   std::cout << summary.dump() << "\n";
-  return totals.violations.empty() ? kHolds : kBroken;
+  return totals.violations.empty() ? kNoViolations : kViolationsFound;
 }
 
 }  // namespace
