--- a/test/e2e/contract_test.cc
+++ b/test/e2e/contract_test.cc
@@ -1,5 +1,5 @@
-// The contracts of every interface - callers, back ends, platform, operators, internal ports - with
-// fault cases in tables. Bad input gets a numbered error naming the field, or a closed connection.
+// Table-driven tests of the contracts of all interfaces: callers, back ends, platform, operators
+// and internal ports. Bad input gets a numbered error that names the field, or a closed connection.
 #include <arpa/inet.h>
 #include <cppunit/extensions/HelperMacros.h>
 #include <netinet/in.h>
@@ -26,7 +26,7 @@
     "  return { deadline_ms = 5000, coverage = 1, extra_load = 0.3 }\n"
     "end";
 
-/// A connection on which a test says what it likes.
+/// A connection on which a test sends arbitrary bytes.
 class RawConnection {
  public:
   explicit RawConnection(const std::string& address) {
@@ -44,11 +44,11 @@
   RawConnection(const RawConnection&) = delete;
   RawConnection& operator=(const RawConnection&) = delete;
 
-  void Say(const std::string& text) const {
+  void SendBytes(const std::string& text) const {
     (void)!::send(socket_, text.data(), text.size(), MSG_NOSIGNAL);
   }
   void StopSending() const { ::shutdown(socket_, SHUT_WR); }
-  /// Everything until the peer closes.
+  /// Reads until the peer closes the connection.
   std::string ReadToEnd() const {
     std::string text;
     char buffer[4096];
@@ -66,10 +66,10 @@
 struct Case {
   std::string body;
   int code;
-  std::string part_of_message;
+  std::string expected_text;
 };
 
-/// One fleet for the whole suite; the tests leave it as it was.
+/// The fleet of the whole suite; each test restores its state.
 Fleet* SharedFleet() {
   static Fleet* fleet = nullptr;
   if (fleet == nullptr) {
@@ -89,9 +89,8 @@
     CPPUNIT_ASSERT_MESSAGE(item.body + " gives " + response.body, json.is_object());
     CPPUNIT_ASSERT_EQUAL_MESSAGE(item.body + " gives " + response.body, item.code,
                                  json.value("code", -1));
-    CPPUNIT_ASSERT_MESSAGE(
-        item.body + " gives " + response.body,
-        json.value("message", "").find(item.part_of_message) != std::string::npos);
+    CPPUNIT_ASSERT_MESSAGE(item.body + " gives " + response.body,
+                           json.value("message", "").find(item.expected_text) != std::string::npos);
   }
 }
 
@@ -102,7 +101,7 @@
   CPPUNIT_TEST(Callers);
   CPPUNIT_TEST(CallersConnections);
   CPPUNIT_TEST(ContinuationStaysOnItsSnapshot);
-  CPPUNIT_TEST(DocumentedExamplesAreTrue);
+  CPPUNIT_TEST(DocumentedExamplesMatch);
   CPPUNIT_TEST(Operators);
   CPPUNIT_TEST(OperatorsToken);
   CPPUNIT_TEST(BackEnds);
@@ -148,15 +147,15 @@
   void CallersConnections() {
     Fleet& fleet = *SharedFleet();
     const std::string address = fleet.NodeAddress(0);
-    // Slow and half-open clients hold a connection each and nothing else.
+    // Slow and half-open clients occupy one connection each and no other resource.
     const RawConnection slow(address);
-    slow.Say("POST /v1/query HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{\"serv");
+    slow.SendBytes("POST /v1/query HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{\"serv");
     const RawConnection silent(address);
     const RawConnection garbage(address);
-    garbage.Say(std::string("\x00\xff\x13 not http\r\n\r\n", 16));
+    garbage.SendBytes(std::string("\x00\xff\x13 not http\r\n\r\n", 16));
     garbage.StopSending();
     const RawConnection half_open(address);
-    half_open.Say("POST /v1/query HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{");
+    half_open.SendBytes("POST /v1/query HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{");
     half_open.StopSending();
     const std::string refusal = garbage.ReadToEnd();
     CPPUNIT_ASSERT(refusal.empty() || refusal.starts_with("HTTP/1.1 400"));
@@ -178,7 +177,7 @@
   }
 
   /// docs/CALLERS.md: each request block is followed by a block of fields its answer must have.
-  void DocumentedExamplesAreTrue() {
+  void DocumentedExamplesMatch() {
     Fleet& fleet = *SharedFleet();
     std::ifstream file(std::string(SOURCE_DIR) + "/docs/CALLERS.md");
     const std::string page{std::istreambuf_iterator<char>(file), {}};
@@ -200,7 +199,7 @@
 
   void Operators() {
     Fleet& fleet = *SharedFleet();
-    // A submission id stands for one change.
+    // Each change needs a submission id of its own.
     int number = 0;
     std::string head;
     const auto next = [&] {
@@ -239,7 +238,7 @@
                {{leave + "0\"}", 0, ""},
                 {leave + "0\"}", 0, ""},
                 {leave + "1\"}", 301, "'submission_id'"}});
-    // The service is as it was.
+    // The service is unchanged.
     CPPUNIT_ASSERT_EQUAL(0,
                          fleet.Query(0, {{"service", "desk"}, {"query", "x"}})["code"].get<int>());
   }
@@ -253,7 +252,7 @@
         "--listen",      "127.0.0.1:0",
         "--data_folder", std::string(BINARY_DIR) + "/contract-data",
         "--machines",    "m=127.0.0.1:1"};
-    // Off loopback an operators' port needs a token.
+    // An operator port that is not on loopback requires a token.
     std::vector<std::string> open_flags = flags;
     open_flags.insert(open_flags.end(), {"--operator_listen", "0.0.0.0:0", "--check_settings"});
     std::string output;
@@ -279,7 +278,7 @@
     Fleet& fleet = *SharedFleet();
     CheckCases(fleet.processes.at("leaf0")->Address("http"), "/v1/search",
                {{" ", 100, ""}, {"{}", 100, ""}, {R"({"id":1,"shard":"one"})", 100, ""}});
-    // A back end that answers nonsense: the shard is missing, and the work may have run.
+    // With a back end that gives malformed replies, the shard is missing and may have run.
     const std::string nonsense = fleet.processes.at("platform")->Address("http");
     Json change{{"kind", "put_service"},
                 {"service", "odd"},
@@ -289,7 +288,7 @@
               {"service", "odd"},
               {"snapshot", {{"id", 1}, {"shards", {{{"id", 1}, {"replicas", {"odd0"}}}}}}}};
     CPPUNIT_ASSERT_EQUAL(0, fleet.Submit(change)["code"].get<int>());
-    // Its health cannot be read either: a node waits some seconds for that before it sends.
+    // Its health report is malformed too. A node waits some seconds for a report before it sends.
     const Json published =
         fleet.Submit({{"kind", "put_policy"},
                       {"service", "odd"},
@@ -308,7 +307,7 @@
     Fleet& fleet = *SharedFleet();
     const std::string platform = fleet.processes.at("platform")->Address("http");
     CheckCases(platform, "/v1/machines", {{"{}", 100, "'leaving'"}});
-    // Lists that cannot be used leave the last good one in force.
+    // After an unusable list the last valid one remains in use.
     for (const std::string list : {R"({"leaving":[1,2]})", R"({"leaving":[]})"}) {
       Post(platform, "/v1/machines", list);
       CPPUNIT_ASSERT_EQUAL(
@@ -323,13 +322,13 @@
       const uint32_t length = htonl(static_cast<uint32_t>(payload.size()));
       return std::string("PMCD") + std::string(reinterpret_cast<const char*>(&length), 4) + payload;
     };
-    const std::vector<std::string> rubbish = {
+    const std::vector<std::string> malformed = {
         "GET / HTTP/1.1\r\n\r\n", std::string(64, '\0'), std::string("PMCD\xff\xff\xff\xff", 8),
         frame("not a message"),
         frame(wire::Encode(wire::Envelope{"another cluster", 1, wire::NodeHello{}}))};
-    for (const std::string& text : rubbish) {
+    for (const std::string& text : malformed) {
       const RawConnection connection(control);
-      connection.Say(text);
+      connection.SendBytes(text);
       connection.ReadToEnd();  // Returns only once the control machine has closed it.
     }
     CPPUNIT_ASSERT_EQUAL(0, fleet.Status(0)["code"].get<int>());
--- a/test/e2e/failure_test.cc
+++ b/test/e2e/failure_test.cc
@@ -1,4 +1,4 @@
-// The brief's failures, brought about with signals, proxies and erased folders on real processes.
+// Tests of failures on real processes, injected with signals, proxies and deleted data folders.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <atomic>
@@ -36,66 +36,66 @@
 
 class FailureTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FailureTest);
-  CPPUNIT_TEST(AnyProcessMayBeKilled);
-  CPPUNIT_TEST(FrozenLeaderDoesNotServeOldConfiguration);
-  CPPUNIT_TEST(ErasedFolderAndASecondLossRightAfterRepair);
+  CPPUNIT_TEST(ServiceSurvivesKilledProcesses);
+  CPPUNIT_TEST(PausedLeaderDoesNotServeStaleConfiguration);
+  CPPUNIT_TEST(SecondDiskLossRightAfterRepair);
   CPPUNIT_TEST(RestartAfterHundredsOfChanges);
   CPPUNIT_TEST(PlannedStopOfNodesUnderLoadFailsNothing);
   CPPUNIT_TEST(PlannedStopOfTheLeaderUnderLoadFailsNothing);
   CPPUNIT_TEST(OneOfTwoRacingOperatorsWins);
-  CPPUNIT_TEST(ResendGetsTheFirstResult);
-  CPPUNIT_TEST(CutOffNodeRefusesAndCatchesUp);
+  CPPUNIT_TEST(ResentChangeGetsTheFirstResult);
+  CPPUNIT_TEST(PartitionedNodeRefusesAndCatchesUp);
   CPPUNIT_TEST(UnrepeatableWorkRunsOnce);
   CPPUNIT_TEST(LeavingLeafGetsNoWork);
-  CPPUNIT_TEST(ControlOutlivesAFullDisk);
-  CPPUNIT_TEST(ControlWaitsForADiskThatTakesNoBytes);
+  CPPUNIT_TEST(ControlSurvivesAFullDisk);
+  CPPUNIT_TEST(ControlWaitsForAFailedDisk);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  /// A replica without a disk ends nothing: it runs on without a vote, says nothing that may be
-  /// old, and takes part again once the disk takes bytes.
-  void ControlOutlivesAFullDisk() {
+  /// A replica whose disk fails keeps running without a vote and serves no stale data. It takes
+  /// part again once the disk accepts writes.
+  void ControlSurvivesAFullDisk() {
     Fleet fleet({.controls = 3, .nodes = 0, .leafs = 2});
     fleet.CreateService(kReadPolicy);
     const int full = (fleet.WaitForLeader() + 1) % 3;
     const auto& process = fleet.processes.at(absl::StrCat("c", full));
-    process->LimitFiles(0);
+    process->LimitFileSize(0);
     CPPUNIT_ASSERT_EQUAL(0, fleet.Submit(PolicyChange(1))["code"].get<int>());
-    WaitFor("the failed replica to say that it is out",
+    WaitFor("the failed replica to report its disk",
             [&] { return fleet.Status(full)["storage_works"] == false; });
     const Json accepted = fleet.Submit(PolicyChange(2));
     CPPUNIT_ASSERT_EQUAL(0, accepted["code"].get<int>());
     CPPUNIT_ASSERT(fleet.Status(full)["version"] < accepted["version"]);
-    process->LimitFiles(std::nullopt);
+    process->LimitFileSize(std::nullopt);
     WaitFor("the replica to take part again",
             [&] { return fleet.Status(full)["version"] == accepted["version"]; });
-    // It counts again: with one of the others gone it makes the quorum.
+    // The replica counts again: with one other machine killed, it completes the quorum.
     fleet.KillControl((full + 1) % 3);
     CPPUNIT_ASSERT_EQUAL(0, fleet.Submit(PolicyChange(3))["code"].get<int>());
   }
 
-  void ControlWaitsForADiskThatTakesNoBytes() {
+  void ControlWaitsForAFailedDisk() {
     Fleet fleet({.controls = 3, .nodes = 0, .leafs = 0});
     fleet.WaitForLeader();
     fleet.KillControl(0);
     const std::string folder = fleet.DataFolder(0);
-    const std::string kept = folder + "-kept";
-    std::filesystem::rename(folder, kept);
-    // Nothing can be written where a file stands in the folder's place.
+    const std::string backup = folder + "-kept";
+    std::filesystem::rename(folder, backup);
+    // A file in place of the folder makes every write fail.
     std::ofstream(folder) << "no folder";
-    std::thread healer([&] {
-      WaitFor("the process to wait",
+    std::thread repair_thread([&] {
+      WaitFor("the process to report the failed folder",
               [&] { return fleet.LogOf("c0").find("data_folder_failed") != std::string::npos; });
       std::filesystem::remove(folder);
-      std::filesystem::rename(kept, folder);
+      std::filesystem::rename(backup, folder);
     });
     fleet.StartControl(0);
-    healer.join();
-    WaitFor("the machine to hear the leader",
+    repair_thread.join();
+    WaitFor("the machine to know the leader",
             [&] { return fleet.Status(0).value("leader", "") != ""; });
   }
 
-  void AnyProcessMayBeKilled() {
+  void ServiceSurvivesKilledProcesses() {
     Fleet fleet({.controls = 3, .nodes = 2, .leafs = 2});
     fleet.StartNode(0);
     fleet.StartNode(1);
@@ -122,15 +122,15 @@
     CPPUNIT_ASSERT(answer["results"].empty());
   }
 
-  void FrozenLeaderDoesNotServeOldConfiguration() {
+  void PausedLeaderDoesNotServeStaleConfiguration() {
     Fleet fleet({.controls = 3, .nodes = 1, .leafs = 2});
     fleet.StartNode(0);
     fleet.CreateService(kReadPolicy);
     const int old_leader = fleet.WaitForLeader();
-    Process& frozen = *fleet.processes.at(absl::StrCat("c", old_leader));
-    const std::string old_address = frozen.Address("operator");
-    frozen.Signal(SIGSTOP);
-    // A read that waits in the frozen process when it goes on.
+    Process& paused = *fleet.processes.at(absl::StrCat("c", old_leader));
+    const std::string old_address = paused.Address("operator");
+    paused.Signal(SIGSTOP);
+    // This read is pending in the paused process when it resumes.
     std::atomic<int> version_read{-2};
     std::thread reader([&] {
       const auto response = Get(old_address, "/v1/config");
@@ -146,9 +146,9 @@
       accepted = result.value("version", 0);
       return result.value("code", -1) == 0;
     });
-    frozen.Signal(SIGCONT);
+    paused.Signal(SIGCONT);
     reader.join();
-    // -1: it answered with a refusal.
+    // -1: the read was refused.
     CPPUNIT_ASSERT(version_read == -1 || version_read >= accepted);
     fleet.WaitForVersion(static_cast<uint64_t>(accepted));
     WaitFor("the old leader to follow", [&] {
@@ -157,7 +157,7 @@
     });
   }
 
-  void ErasedFolderAndASecondLossRightAfterRepair() {
+  void SecondDiskLossRightAfterRepair() {
     Fleet fleet({.controls = 3, .nodes = 1, .leafs = 2});
     fleet.StartNode(0);
     fleet.CreateService(kReadPolicy);
@@ -177,7 +177,7 @@
     WaitFor("full redundancy", repaired);
     replace(fleet.WaitForLeader());
     WaitFor("the repair", repaired);
-    // At this very moment another disk goes for good.
+    // Immediately after the repair a second disk is lost.
     const int second = fleet.WaitForLeader();
     fleet.KillControl(second);
     std::filesystem::remove_all(fleet.DataFolder(second));
@@ -230,7 +230,7 @@
     for (int i = 0; i < kStops; ++i) {
       const int index = i % 2;
       load.WaitForMore();
-      load.TurnTo(1 - index);
+      load.SwitchTo(1 - index);
       Process& node = *fleet.processes.at(absl::StrCat("node", index));
       node.Signal(SIGTERM);
       CPPUNIT_ASSERT_EQUAL(0, node.Wait());
@@ -273,14 +273,14 @@
       std::vector<Json> results(2);
       std::vector<std::thread> operators;
       operators.reserve(results.size());
-      for (int who = 0; who < 2; ++who) {
-        operators.emplace_back([&, who] {
-          Json change = PolicyChange(2 * race + who);
-          change["submission_id"] = absl::StrCat("race-", race, "-", who);
+      for (int index = 0; index < 2; ++index) {
+        operators.emplace_back([&, index] {
+          Json change = PolicyChange(2 * race + index);
+          change["submission_id"] = absl::StrCat("race-", race, "-", index);
           change["expected_revision"] = revision;
           WaitFor("a definite answer", [&] {
-            results[who] = fleet.Call((race + who) % 3, "/v1/changes", change.dump());
-            const int code = results[who].value("code", -1);
+            results[index] = fleet.Call((race + index) % 3, "/v1/changes", change.dump());
+            const int code = results[index].value("code", -1);
             return code == 0 || code == Number(ResultCode::kRevisionConflict);
           });
         });
@@ -290,14 +290,14 @@
       }
       std::multiset<int> codes = {results[0]["code"].get<int>(), results[1]["code"].get<int>()};
       CPPUNIT_ASSERT(codes == (std::multiset<int>{0, Number(ResultCode::kRevisionConflict)}));
-      // The loser is told the current revision.
+      // The refusal contains the current revision.
       ++revision;
       CPPUNIT_ASSERT_EQUAL(revision, results[0]["revision"].get<uint64_t>());
       CPPUNIT_ASSERT_EQUAL(revision, results[1]["revision"].get<uint64_t>());
     }
   }
 
-  void ResendGetsTheFirstResult() {
+  void ResentChangeGetsTheFirstResult() {
     Fleet fleet({.controls = 3, .nodes = 1, .leafs = 2});
     fleet.StartNode(0);
     fleet.CreateService(kReadPolicy);
@@ -306,7 +306,7 @@
     change["expected_revision"] = 3;
     const Json first = fleet.Submit(change);
     CPPUNIT_ASSERT_EQUAL(0, first["code"].get<int>());
-    // The answer was lost; meanwhile the leader changes and another change is accepted.
+    // As if the answer was lost: another change is accepted, and the leader changes.
     fleet.Submit(PolicyChange(2));
     const int leader = fleet.WaitForLeader();
     fleet.KillControl(leader);
@@ -314,11 +314,11 @@
     CPPUNIT_ASSERT_EQUAL(first.dump(), again.dump());
   }
 
-  void CutOffNodeRefusesAndCatchesUp() {
+  void PartitionedNodeRefusesAndCatchesUp() {
     Fleet fleet(
         {.controls = 3, .nodes = 1, .leafs = 2, .node_flags = {"--max_config_age_ms", "1500"}});
     std::vector<std::unique_ptr<TcpProxy>> links;
-    for (std::string& address : fleet.control_seen_by_nodes) {
+    for (std::string& address : fleet.node_control_addresses) {
       links.push_back(std::make_unique<TcpProxy>(address));
       address = links.back()->address();
     }
@@ -350,15 +350,15 @@
     const Json body{{"service", "desk"}, {"query", "reprint"}};
     CPPUNIT_ASSERT_EQUAL(Number(ResultCode::kMissingIdempotencyKey),
                          fleet.Query(0, body)["code"].get<int>());
-    // Impatient people press the button again, here and there, and one node dies.
-    constexpr int kPresses = 8;
-    std::vector<std::thread> presses;
-    presses.reserve(kPresses);
-    for (int i = 0; i < kPresses; ++i) {
-      presses.emplace_back([&, i] { fleet.Query(i % 2, body, "job-1"); });
+    // Repeated requests with one key reach both nodes, and one node is killed.
+    constexpr int kRepeats = 8;
+    std::vector<std::thread> repeats;
+    repeats.reserve(kRepeats);
+    for (int i = 0; i < kRepeats; ++i) {
+      repeats.emplace_back([&, i] { fleet.Query(i % 2, body, "job-1"); });
     }
-    for (std::thread& press : presses) {
-      press.join();
+    for (std::thread& repeat : repeats) {
+      repeat.join();
     }
     fleet.processes.at("node0")->Kill();
     const Json outcome = fleet.Query(1, body, "job-1");
@@ -383,13 +383,13 @@
     fleet.StartNode(0);
     fleet.CreateService(kReadPolicy);
     const auto received = [&] { return fleet.LeafRuns(0)["received"].get<int>(); };
-    const auto ask = [&] {
+    const auto send_query = [&] {
       const Json answer = fleet.Query(0, {{"service", "desk"}, {"query", "x"}});
       CPPUNIT_ASSERT_EQUAL(0, answer["code"].get<int>());
     };
     const std::string platform = fleet.processes.at("platform")->Address("http");
     const std::string leaf = fleet.processes.at("leaf0")->Address("http");
-    const std::vector<std::pair<std::function<void()>, std::function<void()>>> ways = {
+    const std::vector<std::pair<std::function<void()>, std::function<void()>>> cases = {
         {[&] {
            fleet.Submit({{"kind", "mark_leaving"}, {"leaf", "leaf0"}});
          },
@@ -400,32 +400,33 @@
          [&] { Post(platform, "/v1/machines", R"({"live":[],"leaving":[]})"); }},
         {[&] { Post(leaf, "/v1/admin", R"({"draining":true})"); },
          [&] { Post(leaf, "/v1/admin", R"({"draining":false})"); }}};
-    for (const auto& [leave, come_back] : ways) {
-      const int at_first = received();
+    for (const auto& [leave, undo] : cases) {
+      const int initial = received();
       WaitFor("work at the leaf", [&] {
-        ask();
-        return received() > at_first;
+        send_query();
+        return received() > initial;
       });
       leave();
-      constexpr int kQuietQueries = 60;
-      int quiet = 0;
-      WaitFor("the leaf to be left alone", [&] {
+      constexpr int kIdleQueries = 60;
+      int queries_without_work = 0;
+      WaitFor("the leaf to get no requests", [&] {
         const int before = received();
-        ask();
-        quiet = received() == before ? quiet + 1 : 0;
-        return quiet >= kQuietQueries;
+        send_query();
+        queries_without_work = received() == before ? queries_without_work + 1 : 0;
+        return queries_without_work >= kIdleQueries;
       });
       const int before = received();
-      for (int i = 0; i < kQuietQueries; ++i) {
-        ask();
+      for (int i = 0; i < kIdleQueries; ++i) {
+        send_query();
       }
       CPPUNIT_ASSERT_EQUAL(before, received());
-      come_back();
+      undo();
     }
   }
 
  private:
-  /// Callers that ask without pause; a request that was accepted and not answered well has failed.
+  /// Callers that send requests without pause. A request counts as failed if it was sent and not
+  /// answered successfully.
   class Load {
    public:
     Load(Fleet* fleet, std::string key_prefix) : fleet_(fleet), key_prefix_(std::move(key_prefix)) {
@@ -434,17 +435,17 @@
       }
       constexpr int kCallers = 4;
       for (int i = 0; i < kCallers; ++i) {
-        callers_.emplace_back([this, i] { Ask(i); });
+        callers_.emplace_back([this, i] { SendRequests(i); });
       }
     }
     ~Load() { Stop(); }
 
-    void TurnTo(int node) { node_ = node; }
+    void SwitchTo(int node) { node_ = node; }
     void WaitForMore() {
       const int before = answered_;
       constexpr int kMore = 100;
       WaitFor("more answers", [&] { return answered_ >= before + kMore; });
-      // A node that was started again has another port.
+      // A restarted node has another port.
       const std::lock_guard lock(mutex_);
       for (int i = 0; i < fleet_->options.nodes; ++i) {
         const auto& node = fleet_->processes.at(absl::StrCat("node", i));
@@ -463,7 +464,7 @@
     int failed() const { return failed_; }
 
    private:
-    void Ask(int caller) {
+    void SendRequests(int caller) {
       const std::string body = R"({"service":"desk","query":"x"})";
       for (int i = 0; !stop_; ++i) {
         std::string address;
@@ -475,7 +476,7 @@
             key_prefix_.empty() ? "" : absl::StrCat(key_prefix_, "-", caller, "-", i);
         const auto response = Post(address, "/v1/query", body, key);
         if (response.not_sent) {
-          continue;  // The node is gone; nothing was interrupted.
+          continue;  // The node has stopped; no request was interrupted.
         }
         const Json json = Json::parse(response.body, nullptr, /*allow_exceptions=*/false);
         const bool served = json.is_object() && json.value("code", -1) == 0;
--- a/test/e2e/fleet.cc
+++ b/test/e2e/fleet.cc
@@ -26,7 +26,7 @@
 namespace pumicedyke::e2e {
 namespace {
 
-constexpr auto kPatience = std::chrono::seconds(60);
+constexpr auto kWaitTimeout = std::chrono::seconds(60);
 constexpr auto kPollInterval = std::chrono::milliseconds(5);
 
 std::string ProgramPath(const std::string& program) {
@@ -57,7 +57,7 @@
 
 int ExitCode(int status) { return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status); }
 
-std::string FreshFolder() {
+std::string CreateTestFolder() {
   static std::atomic<int> count{0};
   std::string folder = absl::StrCat(BINARY_DIR, "/../e2e/", getpid(), "-", count.fetch_add(1));
   std::filesystem::create_directories(folder);
@@ -76,7 +76,7 @@
 
 }  // namespace
 
-void Process::LimitFiles(std::optional<uint64_t> bytes) const {
+void Process::LimitFileSize(std::optional<uint64_t> bytes) const {
   rlimit limit{};
   CPPUNIT_ASSERT_EQUAL(0, ::prlimit(pid_, RLIMIT_FSIZE, nullptr, &limit));
   limit.rlim_cur = bytes.value_or(limit.rlim_max);
@@ -84,9 +84,10 @@
 }
 
 void WaitFor(const std::string& what, const std::function<bool()>& condition) {
-  const auto end = std::chrono::steady_clock::now() + kPatience;
+  const auto end = std::chrono::steady_clock::now() + kWaitTimeout;
   while (!condition()) {
-    CPPUNIT_ASSERT_MESSAGE("waited in vain for: " + what, std::chrono::steady_clock::now() < end);
+    CPPUNIT_ASSERT_MESSAGE("timed out waiting for: " + what,
+                           std::chrono::steady_clock::now() < end);
     std::this_thread::sleep_for(kPollInterval);
   }
 }
@@ -101,14 +102,14 @@
   std::filesystem::remove_all(folder, ignored);
 }
 
-// Below the range that the system takes ports of outgoing connections from: such a connection could
-// take the port before the process that it is for listens.
+// Below the system's range for ports of outgoing connections. Such a connection could otherwise
+// take a port before the process that it is meant for listens on it.
 constexpr uint16_t kFirstPort = 10000;
 constexpr uint16_t kPorts = 20000;
 
 std::string FreeAddress() {
-  // Test processes that run side by side begin at different places, further apart than one of them
-  // needs ports: a soak with a dozen gateways and sixty leafs takes some 150.
+  // Test processes that run in parallel start at different ports, further apart than the number of
+  // ports that one of them needs. A soak with a dozen gateways and sixty leafs needs about 150.
   constexpr int kPortsOfOneProcess = 397;
   static auto next = static_cast<uint16_t>(::getpid() * kPortsOfOneProcess % kPorts);
   for (int tries = 0; tries < kPorts; ++tries) {
@@ -151,8 +152,8 @@
 
 std::string Process::Address(const std::string& kind) const {
   std::ifstream file(port_file_);
-  for (std::string word, port; file >> word >> port;) {
-    if (word == kind) {
+  for (std::string name, port; file >> name >> port;) {
+    if (name == kind) {
       return "127.0.0.1:" + port;
     }
   }
@@ -187,7 +188,7 @@
 
 int RunProgram(const std::string& program, const std::vector<std::string>& arguments,
                std::string* output) {
-  const std::string file = FreshFolder() + "/output";
+  const std::string file = CreateTestFolder() + "/output";
   const pid_t pid = Spawn(program, arguments, file);
   int status = 0;
   ::waitpid(pid, &status, 0);
@@ -199,12 +200,13 @@
 
 // ---- Fleet --------------------------------------------------------------------------------------
 
-Fleet::Fleet(const FleetOptions& fleet_options) : options(fleet_options), folder_(FreshFolder()) {
+Fleet::Fleet(const FleetOptions& fleet_options)
+    : options(fleet_options), folder_(CreateTestFolder()) {
   for (int i = 0; i < options.controls; ++i) {
     control_addresses_.push_back(FreeAddress());
     absl::StrAppend(&machines_, i == 0 ? "" : ",", "c", i, "=", control_addresses_.back());
   }
-  control_seen_by_nodes = control_addresses_;
+  node_control_addresses = control_addresses_;
   for (int i = 0; i < options.controls; ++i) {
     std::vector<std::string> flags = ControlFlags(i);
     flags.emplace_back("--format");
@@ -308,7 +310,7 @@
 void Fleet::StartNode(int index) {
   const std::string name = absl::StrCat("node", index);
   std::string control;
-  for (const std::string& address : control_seen_by_nodes) {
+  for (const std::string& address : node_control_addresses) {
     absl::StrAppend(&control, control.empty() ? "" : ",", address);
   }
   std::vector<std::string> flags = {
@@ -384,8 +386,8 @@
   request.body = body;
   request.idempotency_key = key;
   request.unrepeatable = !key.empty();
-  constexpr Duration kLongerThanAnyDeadline = Seconds(20);
-  request.timeout = kLongerThanAnyDeadline;
+  constexpr Duration kPostTimeout = Seconds(20);
+  request.timeout = kPostTimeout;
   return http::FetchBlocking(request);
 }
 
--- a/test/e2e/fleet.h
+++ b/test/e2e/fleet.h
@@ -1,5 +1,5 @@
-// Real processes of the product and its stand-ins on loopback, for end-to-end tests. Everything is
-// waited for by condition; a condition that does not come within kPatience fails the test.
+// Real processes of the product and of its test back ends on loopback, for end-to-end tests. Tests
+// wait on conditions; a condition that does not hold within kWaitTimeout fails the test.
 #pragma once
 
 #include <sys/types.h>
@@ -16,14 +16,14 @@
 
 namespace pumicedyke::e2e {
 
-/// Fails the test if `condition` does not hold in time.
+/// Waits until `condition` holds; fails the test if it does not hold in time.
 void WaitFor(const std::string& what, const std::function<bool()>& condition);
 
-/// Removes the folder, unless a failed check is on its way through the caller: then it says where
-/// the processes' logs are.
+/// Removes the folder. If the caller is being unwound by a failed check, keeps the folder and
+/// prints where the processes' logs are.
 void RemoveUnlessFailing(const std::string& folder);
 
-/// An address of loopback that is free at this moment.
+/// Returns a loopback address whose port is currently free.
 std::string FreeAddress();
 
 class Process {
@@ -35,17 +35,17 @@
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
-  /// "127.0.0.1:port" of this kind of port ("http", "control", "operator").
+  /// Returns "127.0.0.1:port" for a kind of port ("http", "control", "operator").
   std::string Address(const std::string& kind) const;
   void Signal(int number) const;
   void Kill();
-  /// @return exit code, or minus the signal that ended it.
+  /// Waits for the process to exit. @return its exit code, or the negated signal that ended it.
   int Wait();
   bool running() const { return pid_ > 0; }
-  /// Whether it has ended though nobody waited for it; it is not running any more then.
+  /// Whether the process has exited without a call of Wait(); running() is then false.
   bool HasEnded();
-  /// Its files may not grow beyond this many bytes, as on a full disk; unset: no bound.
-  void LimitFiles(std::optional<uint64_t> bytes) const;
+  /// Limits the size of files that the process writes, as on a full disk; unset: no limit.
+  void LimitFileSize(std::optional<uint64_t> bytes) const;
 
  private:
   std::string name_;
@@ -53,7 +53,7 @@
   pid_t pid_ = -1;
 };
 
-/// Runs a program to its end. @return its exit code; its output goes to `output` if given.
+/// Runs a program until it exits. @return its exit code; its output is stored in `output` if given.
 int RunProgram(const std::string& program, const std::vector<std::string>& arguments,
                std::string* output = nullptr);
 
@@ -74,15 +74,15 @@
   void StartControl(int index);
   void KillControl(int index);
   std::string DataFolder(int index) const;
-  /// What the process of this name has written so far.
+  /// Returns the output of a process so far.
   std::string LogOf(const std::string& name) const;
   std::string OperatorAddress(int index) const;
   const std::vector<std::string>& control_addresses() const { return control_addresses_; }
   int WaitForLeader();
   Json Status(int index) const;
-  /// One call to one control machine. @return the body; {"code": -1} if there is no answer.
+  /// Sends a request to a control machine. @return the body; {"code": -1} if there is no answer.
   Json Call(int index, const std::string& path, const std::string& body) const;
-  /// Sends a change under one submission id until some machine gives a definite answer.
+  /// Sends a change under one submission id until a machine gives a definite answer.
   Json Submit(Json change);
 
   // Nodes and leafs.
@@ -91,12 +91,13 @@
   Json NodeStatus(int index) const;
   Json Query(int index, const Json& body, const std::string& key = "") const;
   Json LeafRuns(int index) const;
-  /// Creates service "desk": one shard a leaf pair, a snapshot, a policy; waits until it is served.
+  /// Creates service "desk" with a snapshot, a policy and one shard per leaf, replicated on the
+  /// next leaf; waits until the nodes serve it.
   void CreateService(const std::string& policy);
   void WaitForVersion(uint64_t version);
 
-  /// Nodes connect to these instead of the control machines, if set before StartNode().
-  std::vector<std::string> control_seen_by_nodes;
+  /// Control addresses that nodes connect to; may be changed before StartNode().
+  std::vector<std::string> node_control_addresses;
   std::map<std::string, std::unique_ptr<Process>> processes;
   FleetOptions options;
 
--- a/test/e2e/tcp_proxy.h
+++ b/test/e2e/tcp_proxy.h
@@ -1,4 +1,4 @@
-// A TCP proxy whose link can be cut silently, as a network does, and healed.
+// A TCP proxy that can drop and restore its link silently, as a network partition does.
 #pragma once
 
 #include <atomic>
@@ -15,7 +15,7 @@
   TcpProxy& operator=(const TcpProxy&) = delete;
 
   const std::string& address() const { return address_; }
-  /// While cut, nothing is carried and no connection is closed.
+  /// While cut, the proxy forwards no bytes and closes no connection.
   void SetCut(bool cut) { cut_ = cut; }
 
  private:
