--- a/src/programs/pumicectl_main.cc
+++ b/src/programs/pumicectl_main.cc
@@ -268,7 +268,7 @@
   }
   const Json tenants = Json::parse(text, nullptr, /*allow_exceptions=*/false);
   if (!tenants.is_array()) {
-    return Fail(ExitCode::kUsage, arguments[0] + " holds no JSON list");
+    return Fail(ExitCode::kUsage, arguments[0] + " does not contain a JSON list");
   }
   return Submit({{"kind", "put_tenants"}, {"tenants", tenants}});
 }
@@ -439,19 +439,19 @@
   return 0;
 }
 
-int RunCommand(const Arguments& words) {
-  if (words.empty()) {
+int RunCommand(const Arguments& command_line) {
+  if (command_line.empty()) {
     PrintHelp(std::cerr);
     return static_cast<int>(ExitCode::kUsage);
   }
-  if (words[0] == "help") {
+  if (command_line[0] == "help") {
     return PrintHelp(std::cout);
   }
-  const auto command = Commands().find(words[0]);
+  const auto command = Commands().find(command_line[0]);
   if (command == Commands().end()) {
-    return Fail(ExitCode::kUsage, "no command '" + words[0] + "'; see pumicectl help");
+    return Fail(ExitCode::kUsage, "no command '" + command_line[0] + "'; see pumicectl help");
   }
-  const Arguments arguments(words.begin() + 1, words.end());
+  const Arguments arguments(command_line.begin() + 1, command_line.end());
   if (arguments.size() != command->second.arguments) {
     return Fail(ExitCode::kUsage, "usage: pumicectl " + command->second.usage);
   }
--- a/src/server/control_dialect_calls.cc
+++ b/src/server/control_dialect_calls.cc
@@ -212,7 +212,7 @@
     // The caller may have given a delayed order to another machine and revoked it there.
     LogEvent("zone_order_too_old", {{"zone", change.zone}});
     responder.Send(dialect_->WriteRefusal(
-        MakeStatus(ResultCode::kNoQuorum, "the order took too long; give it again")));
+        MakeStatus(ResultCode::kNoQuorum, "the order took too long; send it again")));
     return;
   }
   const auto on_reply = [this, change, until,
--- a/src/server/gateway_log.cc
+++ b/src/server/gateway_log.cc
@@ -217,8 +217,8 @@
       }
       continue;
     }
-    const bool back = before != leafs_.end() && before->second && !known->second.draining;
-    if (before == leafs_.end() || back) {
+    const bool resumed = before != leafs_.end() && before->second && !known->second.draining;
+    if (before == leafs_.end() || resumed) {
       added.Add(leaf);
     } else if (before->second != known->second.draining) {
       leaving.Add(leaf);
--- a/src/server/process.cc
+++ b/src/server/process.cc
@@ -109,14 +109,14 @@
       return std::string();
     }
     return MakeStatus(ResultCode::kInvalidConfig,
-                      "must name a file unless operators come over loopback");
+                      "must name a file unless operators connect over loopback");
   }
   std::ifstream file(path);
   std::stringstream content;
   content << file.rdbuf();
   std::string token(absl::StripAsciiWhitespace(content.str()));
   if (!file || token.empty()) {
-    return MakeStatus(ResultCode::kInvalidConfig, "holds no token that can be read: " + path);
+    return MakeStatus(ResultCode::kInvalidConfig, "contains no readable token: " + path);
   }
   return token;
 }
--- a/test/e2e/tcp_proxy.cc
+++ b/test/e2e/tcp_proxy.cc
@@ -94,9 +94,9 @@
       } else if (peer_of.contains(item.fd)) {
         char buffer[65536];
         const ssize_t got = ::read(item.fd, buffer, sizeof(buffer));
-        const bool carried = got > 0 && ::send(peer_of.at(item.fd), buffer,
-                                               static_cast<size_t>(got), MSG_NOSIGNAL) == got;
-        if (!carried) {
+        const bool forwarded = got > 0 && ::send(peer_of.at(item.fd), buffer,
+                                                 static_cast<size_t>(got), MSG_NOSIGNAL) == got;
+        if (!forwarded) {
           close_pair(item.fd);
         }
       }
--- a/test/platform/dialect_test.cc
+++ b/test/platform/dialect_test.cc
@@ -112,7 +112,7 @@
   void BadDocumentsAreRefused() {
     struct Case {
       const char* what;
-      std::function<void(Json*)> spoil;
+      std::function<void(Json*)> invalidate;
     };
     const Case cases[] = {
         {"no version", [](Json* d) { d->erase("version"); }},
@@ -145,7 +145,7 @@
     const ControlDialect dialect;
     for (const Case& item : cases) {
       Json document = Document();
-      item.spoil(&document);
+      item.invalidate(&document);
       const auto command = dialect.ReadCommand(Request("POST", "/v1/config/put", document.dump()));
       CPPUNIT_ASSERT_MESSAGE(item.what, !command.ok());
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, 400, dialect.WriteRefusal(command.status()).status);
--- a/test/platform/tenant_document_test.cc
+++ b/test/platform/tenant_document_test.cc
@@ -87,7 +87,7 @@
     struct Case {
       const char* what;
       const char* field;
-      std::function<void(Json*)> spoil;
+      std::function<void(Json*)> invalidate;
     };
     const Case cases[] = {
         {"no name", "name", [](Json* t) { t->erase("name"); }},
@@ -122,7 +122,7 @@
         Json document = Document();
         Json tenant = document["tenants"][0];
         const Json other = document["tenants"][1];
-        item.spoil(&tenant);
+        item.invalidate(&tenant);
         document["tenants"] = index == 0 ? Json{tenant, other} : Json{other, tenant};
         const auto command =
             dialect.ReadCommand(Request("POST", "/v1/config/put", document.dump()));
--- a/test/soak/actors.cc
+++ b/test/soak/actors.cc
@@ -39,7 +39,7 @@
   return std::hash<std::string>()(leaf + "/" + attempt) % kOneRunIn == 0;
 }
 
-std::string Attempt(const http::HttpRequest& request) {
+std::string AttemptId(const http::HttpRequest& request) {
   const std::string* id = http::FindHeader(request.headers, "X-Request-Id");
   return id == nullptr ? "" : *id;
 }
@@ -79,13 +79,13 @@
     const std::string name = run + "-leaf" + std::to_string(i);
     const auto crashes = [observations, service, name](const http::HttpRequest& request) {
       const bool fatal = CrashesLeafs(request);
-      const bool crashes_now = fatal || CrashesByChance(name, Attempt(request));
+      const bool crashes_now = fatal || CrashesByChance(name, AttemptId(request));
       if (crashes_now) {
         // The request did run, so no caller may get the answer that it was not run.
-        observations->OnRan(service, Attempt(request));
+        observations->OnRan(service, AttemptId(request));
       }
       if (fatal) {
-        observations->OnLeafCrashed(net::EventLoop::Now(), Attempt(request));
+        observations->OnLeafCrashed(net::EventLoop::Now(), AttemptId(request));
       }
       return crashes_now;
     };
--- a/test/soak/faults.cc
+++ b/test/soak/faults.cc
@@ -96,16 +96,16 @@
 }
 
 void Faults::Pause(Timestamp now, const std::string& process) {
-  const Timestamp over = now + RandomDuration(100, 2500);
+  const Timestamp end_time = now + RandomDuration(100, 2500);
   fleet_->processes.at(process)->Signal(SIGSTOP);
-  ScheduleUndo(over, [this, process] { fleet_->processes.at(process)->Signal(SIGCONT); });
-  busy_[process] = over + (process.front() == 'c' ? kControlRecovery : kGatewayRecovery);
+  ScheduleUndo(end_time, [this, process] { fleet_->processes.at(process)->Signal(SIGCONT); });
+  busy_[process] = end_time + (process.front() == 'c' ? kControlRecovery : kGatewayRecovery);
 }
 
 void Faults::TerminateAndRestart(Timestamp now, const std::string& process, int signal) {
-  const Timestamp back = now + RandomDuration(50, 2000);
+  const Timestamp restart_time = now + RandomDuration(50, 2000);
   fleet_->processes.at(process)->Signal(signal);
-  ScheduleUndo(back, [this, process, signal] {
+  ScheduleUndo(restart_time, [this, process, signal] {
     // A planned stop first answers all admitted requests.
     const int ended = fleet_->processes.at(process)->Wait();
     if (signal == SIGTERM && ended != 0) {
@@ -113,7 +113,7 @@
     }
     RestartProcess(process);
   });
-  busy_[process] = back + (process.front() == 'c' ? kControlRecovery : kGatewayRecovery);
+  busy_[process] = restart_time + (process.front() == 'c' ? kControlRecovery : kGatewayRecovery);
 }
 
 void Faults::RestartProcess(const std::string& process) {
@@ -188,9 +188,9 @@
   e2e::Process* process = fleet_->processes.at(name).get();
   process->Kill();
   std::filesystem::remove_all(fleet_->DataFolder(ControlIndex(name)));
-  const Timestamp back = now + RandomDuration(50, 1000);
-  ScheduleUndo(back, [this, name] { RestartProcess(name); });
-  busy_[name] = back + kControlRecovery;
+  const Timestamp restart_time = now + RandomDuration(50, 1000);
+  ScheduleUndo(restart_time, [this, name] { RestartProcess(name); });
+  busy_[name] = restart_time + kControlRecovery;
 }
 
 void Faults::KillAllControls(Timestamp now) {
--- a/test/soak/observations.cc
+++ b/test/soak/observations.cc
@@ -14,7 +14,7 @@
 /// All gateways refuse the fatal request this long after the third crash. Each gateway that was
 /// paused or stopped in that time may send it once more.
 constexpr Duration kQuarantineDelay = Seconds(8);
-constexpr size_t kLateAttempts = 3;
+constexpr size_t kMaxLateAttempts = 3;
 constexpr size_t kMaxViolations = 20;
 
 std::string Value(const http::ClientResponse& response, const std::string& name) {
@@ -138,7 +138,7 @@
       AddViolation(absl::StrCat(request, ": ", service, " ran it ", count, " times"));
     }
   }
-  if (late_fatal_.size() > kLateAttempts + gateway_faults_) {
+  if (late_fatal_.size() > kMaxLateAttempts + gateway_faults_) {
     AddViolation(absl::StrCat("a request that crashes leafs reached some in ", late_fatal_.size(),
                               " attempts after the third crash, with ", gateway_faults_,
                               " gateway faults"));
--- a/test/soak/soak_main.cc
+++ b/test/soak/soak_main.cc
@@ -25,7 +25,7 @@
 constexpr size_t kReplicas = 2;
 constexpr Duration kStep = Milliseconds(10);
 /// Time allowed for recovery after all faults have ended.
-constexpr Duration kRecovery = Seconds(20);
+constexpr Duration kRecoveryTimeout = Seconds(20);
 
 /// The parts of a soak, in the order of their creation.
 class Soak {
@@ -36,11 +36,11 @@
     for (int i = 0; i < FLAGS_controls; ++i) {
       controls_.push_back(fleet_.ServiceAddress(i));
     }
-    addresses_ = {fleet_.gateway_address()};
-    names_ = {"gateway"};
+    gateway_addresses_ = {fleet_.gateway_address()};
+    gateway_names_ = {"gateway"};
     for (int i = 1; i < FLAGS_gateways; ++i) {
-      names_.push_back("gateway" + std::to_string(i + 2));
-      addresses_.push_back(fleet_.StartAdditionalGateway(names_.back()));
+      gateway_names_.push_back("gateway" + std::to_string(i + 2));
+      gateway_addresses_.push_back(fleet_.StartAdditionalGateway(gateway_names_.back()));
     }
     fleet_.Put(DocumentOf(1, static_cast<size_t>(FLAGS_shards)));
     observations_.OnAcknowledged(1);
@@ -50,10 +50,10 @@
     const Leafs leafs("seed" + std::to_string(FLAGS_seed), static_cast<size_t>(FLAGS_shards),
                       kReplicas, controls_, &observations_);
     WaitForAll();
-    Faults faults(FLAGS_seed, {FLAGS_controls, FLAGS_controls / 2, names_}, &fleet_,
+    Faults faults(FLAGS_seed, {FLAGS_controls, FLAGS_controls / 2, gateway_names_}, &fleet_,
                   &observations_);
     {
-      const Clients clients(FLAGS_seed + 1, addresses_, &observations_);
+      const Clients clients(FLAGS_seed + 1, gateway_addresses_, &observations_);
       const Operator operators(FLAGS_seed + 2, controls_, static_cast<size_t>(FLAGS_shards),
                                &observations_);
       const Timestamp end = net::EventLoop::Now() + Seconds(FLAGS_seconds);
@@ -76,12 +76,12 @@
   }
 
  private:
-  /// Waits until every gateway serves a complete gather; fails the soak after kRecovery.
+  /// Waits until every gateway serves a complete gather; fails the soak after kRecoveryTimeout.
   void WaitForAll() {
-    const Timestamp latest = net::EventLoop::Now() + kRecovery;
-    for (const std::string& gateway : addresses_) {
+    const Timestamp deadline = net::EventLoop::Now() + kRecoveryTimeout;
+    for (const std::string& gateway : gateway_addresses_) {
       while (!ServesAllShards(gateway)) {
-        if (net::EventLoop::Now() >= latest) {
+        if (net::EventLoop::Now() >= deadline) {
           observations_.Fail("the gateway at " + gateway + " does not serve all shards again");
           return;
         }
@@ -98,8 +98,8 @@
   /// Checks that the acknowledged configuration can be read.
   void ReadBack() {
     const uint64_t acknowledged = observations_.acknowledged();
-    const Timestamp latest = net::EventLoop::Now() + kRecovery;
-    while (net::EventLoop::Now() < latest) {
+    const Timestamp deadline = net::EventLoop::Now() + kRecoveryTimeout;
+    while (net::EventLoop::Now() < deadline) {
       for (const std::string& control : controls_) {
         const http::ClientResponse response = e2e::Get(control, "/v1/config/get");
         const Json json = Json::parse(response.body, nullptr, /*allow_exceptions=*/false);
@@ -115,8 +115,8 @@
   Observations observations_;
   platform::PlatformFleet fleet_;
   std::vector<std::string> controls_;
-  std::vector<std::string> addresses_;
-  std::vector<std::string> names_;
+  std::vector<std::string> gateway_addresses_;
+  std::vector<std::string> gateway_names_;
 };
 
 }  // namespace
