--- a/src/server/control_dialect_calls.cc
+++ b/src/server/control_dialect_calls.cc
@@ -15,7 +15,7 @@
 /// Callers turn to another machine after a second without an answer.
 constexpr Duration kZoneOrderTimeout = Milliseconds(900);
 
-/// Returns the status of a reply of the control server.
+/// Returns the error that a reply of the control server contains, or OK if it is a success.
 absl::Status StatusOfReply(const control::OperatorReply& reply) {
   const Json body = Json::parse(reply.body, nullptr, /*allow_exceptions=*/false);
   if (!body.is_object()) {
