--- a/src/gateway/gateway_server.h
+++ b/src/gateway/gateway_server.h
@@ -242,7 +242,7 @@
   void OnControlMessage(Timestamp now, const std::string& address, const wire::Envelope& envelope);
   void OnControlDisconnected(Timestamp now, const std::string& address);
 
-  /// Handles a message from another gateway that uses this one as merger.
+  /// Handles a message from another gateway that uses this one as merger or lender.
   /// @param arrived as for OnRequest().
   void OnPeerQuestion(Timestamp now, PeerSessionId session, const wire::Envelope& envelope,
                       Timestamp arrived);
--- a/test/gateway/gateway_harness.h
+++ b/test/gateway/gateway_harness.h
@@ -164,7 +164,7 @@
   }
 
   /// Sends a request.
-  /// @param unread how long the request may have waited to be read.
+  /// @param unread_time how long the request may have waited to be read.
   /// @return the request's id.
   RequestId Ask(const std::string& target, Duration deadline = Seconds(1),
                 Duration unread_time = {}) {
