--- a/src/sim/actors.cc
+++ b/src/sim/actors.cc
@@ -10,8 +10,8 @@
 
 constexpr int kMaxAttempts = 5;
 constexpr int kMaxSends = 10;
-constexpr Duration kAnswerPatience = Milliseconds(1500);
-constexpr Duration kOperatorPatience = Milliseconds(1200);
+constexpr Duration kAnswerTimeout = Milliseconds(1500);
+constexpr Duration kOperatorTimeout = Milliseconds(1200);
 
 }  // namespace
 
@@ -26,7 +26,7 @@
 }
 
 size_t Caller::AvailableNode() const {
-  // The caller turns to the other node while its own is stopping or gone.
+  // The caller uses the other node while its own is stopping or down.
   const NodeHost& own = *world_->nodes[node_];
   const bool usable = own.alive() && !own.stopping();
   return usable ? node_ : (node_ + 1) % world_->nodes.size();
@@ -40,15 +40,15 @@
   if (world_->Uniform() < kJobShare) {
     StartJob();
   } else {
-    AskRead();
+    SendRead();
   }
   world_->clock.After(Milliseconds(world_->Between(15, 60)), [this] { Loop(); });
 }
 
-void Caller::AskRead() {
+void Caller::SendRead() {
   query::CallerRequest request;
   request.service = kReadService;
-  request.query = absl::StrCat(name_, " read ", ++asked_);
+  request.query = absl::StrCat(name_, " read ", ++request_count_);
   request.request_class = world_->Uniform() < 0.4 ? "full" : "quick";
   world_->Ask(AvailableNode(), request, [this, request](const query::Answer& answer) {
     if (!answer.continuation.empty() && world_->Uniform() < 0.5) {
@@ -57,7 +57,7 @@
   });
 }
 
-// ---- A caller whose request ends leafs ----------------------------------------------------------
+// ---- A caller whose request crashes leafs -------------------------------------------------------
 
 query::CallerRequest FatalCaller::Request() {
   query::CallerRequest request;
@@ -81,42 +81,42 @@
   world_->clock.After(Milliseconds(world_->Between(150, 600)), [this] { Loop(); });
 }
 
-// ---- A caller that repeats at once --------------------------------------------------------------
+// ---- A caller that retries quickly --------------------------------------------------------------
 
-void ImpatientCaller::Start(Timestamp end) {
+void RetryingCaller::Start(Timestamp end) {
   end_ = end;
   Loop();
 }
 
-void ImpatientCaller::Loop() {
+void RetryingCaller::Loop() {
   if (world_->clock.now() >= end_) {
     return;
   }
   constexpr int kTries = 12;
-  Insist(absl::StrCat("impatient ", ++asked_), kTries);
+  SendUntilServed(absl::StrCat("impatient ", ++request_count_), kTries);
   world_->clock.After(Milliseconds(world_->Between(20, 80)), [this] { Loop(); });
 }
 
-void ImpatientCaller::Insist(const std::string& query, int tries) {
+void RetryingCaller::SendUntilServed(const std::string& query, int tries) {
   if (tries == 0) {
     return;
   }
   query::CallerRequest request;
   request.service = kReadService;
-  request.query = absl::StrCat(query, " ", std::string(1, kAttemptMark), tries);
+  request.query = absl::StrCat(query, " ", std::string(1, kAttemptMarker), tries);
   request.request_class = "full";
   const auto node = static_cast<size_t>(tries % 2);
   const auto again = [this, query, tries](const query::Answer& answer) {
     const bool served = answer.code == ResultCode::kOk || answer.code == ResultCode::kPartial;
     if (!served) {
       world_->clock.After(Milliseconds(world_->Between(10, 250)),
-                          [this, query, tries] { Insist(query, tries - 1); });
+                          [this, query, tries] { SendUntilServed(query, tries - 1); });
     }
   };
   world_->Ask(node, request, again);
 }
 
-// ---- A caller that asks again for what it was told ---------------------------------------------
+// ---- A caller that repeats completed jobs -------------------------------------------------------
 
 void RepeatingCaller::Start(Timestamp end) {
   end_ = end;
@@ -129,26 +129,27 @@
   }
   query::CallerRequest request;
   request.service = kJobService;
-  request.idempotency_key = absl::StrCat("repeated-", ++asked_);
+  request.idempotency_key = absl::StrCat("repeated-", ++request_count_);
   request.query = "work of " + request.idempotency_key;
-  const auto node = static_cast<size_t>(asked_ % 2);
+  const auto node = static_cast<size_t>(request_count_ % 2);
   world_->Ask(node, request, [this, request, node](const query::Answer& answer) {
     constexpr int kTimes = 3;
     if (answer.code == ResultCode::kOk) {
-      AskAgain(request, 1 - node, kTimes);
+      RepeatRequest(request, 1 - node, kTimes);
     }
   });
   world_->clock.After(Milliseconds(world_->Between(5, 25)), [this] { Loop(); });
 }
 
-void RepeatingCaller::AskAgain(const query::CallerRequest& request, size_t node, int times) {
+void RepeatingCaller::RepeatRequest(const query::CallerRequest& request, size_t node, int times) {
   if (times == 0) {
     return;
   }
-  // What is lost for good is missed later, too, by those who could not be answered at first.
+  // Repeats spread over time also detect a permanently lost outcome if the first repeats could not
+  // be answered.
   world_->clock.After(Milliseconds(world_->Between(1, 800)), [this, request, node, times] {
     world_->Ask(node, request, [](const query::Answer&) {});
-    AskAgain(request, 1 - node, times - 1);
+    RepeatRequest(request, 1 - node, times - 1);
   });
 }
 
@@ -170,11 +171,11 @@
 
 void Caller::StartJob() {
   auto job = std::make_shared<Job>();
-  job->key = absl::StrCat(name_, "-job-", ++asked_);
+  job->key = absl::StrCat(name_, "-job-", ++request_count_);
   AttemptJob(job, AvailableNode());
-  constexpr double kImpatientShare = 0.2;
-  if (world_->Uniform() < kImpatientShare) {
-    // A second press of the button, which reaches the other node.
+  constexpr double kDoubleSubmitShare = 0.2;
+  if (world_->Uniform() < kDoubleSubmitShare) {
+    // Models a user who submits the same job twice, the second time through the other node.
     const size_t other = (node_ + 1) % world_->nodes.size();
     world_->clock.After(Milliseconds(world_->Between(0, 40)),
                         [this, job, other] { AttemptJob(job, other); });
@@ -199,7 +200,7 @@
     world_->clock.After(Milliseconds(world_->Between(50, 400)),
                         [this, job, node] { AttemptJob(job, node); });
   });
-  world_->clock.After(kAnswerPatience, [this, job, answered, node] {
+  world_->clock.After(kAnswerTimeout, [this, job, answered, node] {
     if (!*answered) {
       AttemptJob(job, (node + 1) % world_->nodes.size());
     }
@@ -225,25 +226,26 @@
   if (options_.repartitions && world_->Uniform() < kRepartitionShare) {
     world_->Repartition(world_->Uniform() < 0.7 ? kReadService : kJobService);
   }
-  world_->clock.After(Milliseconds(world_->Between(150, options_.longest_pause.count() / 1000)),
+  world_->clock.After(Milliseconds(world_->Between(150, options_.max_pause.count() / 1000)),
                       [this] { Loop(); });
 }
 
-void Operators::ReadThenSubmit(const std::string& who) {
+void Operators::ReadThenSubmit(const std::string& operator_name) {
   const size_t control = static_cast<size_t>(world_->Between(0, 2));
-  world_->ReadConfig(who, control, [this, who](const config::ConfigState& config) {
-    const config::Service* service = config.FindService(kReadService);
-    if (service == nullptr) {
-      return;
-    }
-    config::Change change =
-        world_->MakePolicyChange(kReadService, absl::StrCat(who, "-", ++submissions_));
-    change.expected_revision = service->revision;
-    SubmitUntilAnswered(who, change, 0);
-  });
+  world_->ReadConfig(operator_name, control,
+                     [this, operator_name](const config::ConfigState& config) {
+                       const config::Service* service = config.FindService(kReadService);
+                       if (service == nullptr) {
+                         return;
+                       }
+                       config::Change change = world_->MakePolicyChange(
+                           kReadService, absl::StrCat(operator_name, "-", ++submissions_));
+                       change.expected_revision = service->revision;
+                       SubmitUntilAnswered(operator_name, change, 0);
+                     });
 }
 
-void Operators::SubmitUntilAnswered(const std::string& who, const config::Change& change,
+void Operators::SubmitUntilAnswered(const std::string& operator_name, const config::Change& change,
                                     int sends) {
   auto answered = std::make_shared<bool>(false);
   const auto on_result = [answered](const config::ChangeResult& result) {
@@ -251,14 +253,14 @@
     *answered |= code != ResultCode::kNoQuorum && code != ResultCode::kShuttingDown;
   };
   const size_t control = static_cast<size_t>(world_->Between(0, 2));
-  world_->Submit(who, control, change, on_result);
+  world_->Submit(operator_name, control, change, on_result);
   constexpr double kDoubleSendShare = 0.2;
   if (world_->Uniform() < kDoubleSendShare) {
-    world_->Submit(who, (control + 1) % world_->controls.size(), change, on_result);
+    world_->Submit(operator_name, (control + 1) % world_->controls.size(), change, on_result);
   }
-  world_->clock.After(kOperatorPatience, [this, who, change, answered, sends] {
+  world_->clock.After(kOperatorTimeout, [this, operator_name, change, answered, sends] {
     if (!*answered && sends < kMaxSends) {
-      SubmitUntilAnswered(who, change, sends + 1);
+      SubmitUntilAnswered(operator_name, change, sends + 1);
     }
   });
 }
--- a/src/sim/actors.h
+++ b/src/sim/actors.h
@@ -1,5 +1,6 @@
-// Model callers and operators. Callers ask, follow continuation tokens and repeat unrepeatable jobs
-// under their key; operators read, change and resend, and race each other.
+// Simulated callers and operators. Callers send reads, follow continuation tokens and retry
+// non-repeatable jobs under the same idempotency key. Operators read the configuration, submit
+// changes, resend them, and race each other.
 #pragma once
 
 #include <cstdint>
@@ -11,6 +12,7 @@
 
 namespace pumicedyke::sim {
 
+/// Sends a random mix of reads and jobs, by default to its own node.
 class Caller {
  public:
   Caller(World* world, size_t node, std::string name);
@@ -24,7 +26,7 @@
   };
 
   void Loop();
-  void AskRead();
+  void SendRead();
   void FollowContinuation(const query::CallerRequest& request, const query::Answer& answer);
   void StartJob();
   void AttemptJob(const std::shared_ptr<Job>& job, size_t node);
@@ -33,11 +35,11 @@
   World* world_;
   size_t node_;
   std::string name_;
-  uint64_t asked_ = 0;
+  uint64_t request_count_ = 0;
   Timestamp end_{};
 };
 
-/// Asks again and again for what ends every leaf that runs it, at either node.
+/// Repeatedly sends a query that crashes every leaf that runs it, to either node at random.
 class FatalCaller {
  public:
   explicit FatalCaller(World* world) : world_(world) {}
@@ -51,23 +53,22 @@
   Timestamp end_{};
 };
 
-/// Asks for the same thing at both nodes, again and again until it is served.
-class ImpatientCaller {
+/// Retries each query on alternating nodes until it is served or the tries are used up.
+class RetryingCaller {
  public:
-  explicit ImpatientCaller(World* world) : world_(world) {}
+  explicit RetryingCaller(World* world) : world_(world) {}
   void Start(Timestamp end);
 
  private:
   void Loop();
-  void Insist(const std::string& query, int tries);
+  void SendUntilServed(const std::string& query, int tries);
 
   World* world_;
-  uint64_t asked_ = 0;
+  uint64_t request_count_ = 0;
   Timestamp end_{};
 };
 
-/// Asks for unrepeatable work at both nodes in turn, and again at the other one as soon as it is
-/// told the outcome.
+/// Sends a non-repeatable job, and repeats it on alternating nodes after its outcome was reported.
 class RepeatingCaller {
  public:
   explicit RepeatingCaller(World* world) : world_(world) {}
@@ -75,17 +76,17 @@
 
  private:
   void Loop();
-  void AskAgain(const query::CallerRequest& request, size_t node, int times);
+  void RepeatRequest(const query::CallerRequest& request, size_t node, int times);
 
   World* world_;
-  uint64_t asked_ = 0;
+  uint64_t request_count_ = 0;
   Timestamp end_{};
 };
 
 struct OperatorOptions {
   bool races = false;
   bool repartitions = false;
-  Duration longest_pause = Milliseconds(800);
+  Duration max_pause = Milliseconds(800);
 };
 
 class Operators {
@@ -95,9 +96,10 @@
 
  private:
   void Loop();
-  void ReadThenSubmit(const std::string& who);
-  /// Sends until a definite answer comes; each resend under the same submission id.
-  void SubmitUntilAnswered(const std::string& who, const config::Change& change, int sends);
+  void ReadThenSubmit(const std::string& operator_name);
+  /// Resends the change under the same submission id until a definite answer arrives.
+  void SubmitUntilAnswered(const std::string& operator_name, const config::Change& change,
+                           int sends);
 
   World* world_;
   OperatorOptions options_;
--- a/src/sim/clock_queue.cc
+++ b/src/sim/clock_queue.cc
@@ -13,7 +13,7 @@
     now_ = std::max(now_, end);
     return false;
   }
-  // The queue gives out const references only; the event is about to be popped anyway.
+  // top() returns a const reference; moving from it is safe because the item is popped next.
   Item item = std::move(const_cast<Item&>(items_.top()));
   items_.pop();
   now_ = item.time;
--- a/src/sim/clock_queue.h
+++ b/src/sim/clock_queue.h
@@ -1,4 +1,4 @@
-// Seeded discrete-event time: events run in order of their time, ties in order of insertion.
+// Discrete-event clock: events run in the order of their time; ties run in insertion order.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,8 @@
   void At(Timestamp time, Event event);
   void After(Duration delay, Event event) { At(now_ + delay, std::move(event)); }
 
-  /// Runs the next event. @return false if there is none before `end`; the time is then `end`.
+  /// Runs the next event. @return false if no event is due by `end`; the clock then advances to
+  /// `end`.
   bool RunNext(Timestamp end);
   uint64_t executed() const { return executed_; }
 
--- a/src/sim/control_host.cc
+++ b/src/sim/control_host.cc
@@ -52,8 +52,8 @@
     if (disabled_.contains("new-incarnation")) {
       Format();
     } else {
-      const MemberId fresh = std::hash<std::string>()(name()) + starts_;
-      storage_->Format({fresh, kCluster, name()}, wire::SnapshotData{}).IgnoreError();
+      const MemberId new_member_id = std::hash<std::string>()(name()) + starts_;
+      storage_->Format({new_member_id, kCluster, name()}, wire::SnapshotData{}).IgnoreError();
     }
     identity = storage_->ReadIdentity();
   }
@@ -112,9 +112,9 @@
 }
 
 void ControlHost::CheckPlannedStop() {
-  const bool over = stopped_ != nullptr && LocalNow() >= stop_not_before_ && server_->Drained() &&
-                    open_tickets_ == 0;
-  if (over) {
+  const bool can_stop = stopped_ != nullptr && LocalNow() >= stop_not_before_ &&
+                        server_->Drained() && open_tickets_ == 0;
+  if (can_stop) {
     std::function<void()> stopped = std::move(stopped_);
     Kill();
     stopped();
--- a/src/sim/control_host.h
+++ b/src/sim/control_host.h
@@ -17,7 +17,7 @@
 
 class ControlHost : public SimProcess {
  public:
-  /// Carries a message to the named host; the receiver's part runs in `deliver`.
+  /// Sends a message to the control machine at `address`.
   using PeerCb = std::function<void(const std::string& address, const wire::Envelope&)>;
   using SessionCb = std::function<void(control::SessionId, const wire::Envelope&)>;
   using OperatorCb = std::function<void(control::TicketId, const std::string& body)>;
@@ -28,20 +28,20 @@
     std::function<void(control::SessionId)> close_session;
   };
 
-  /// @param founders the machines that a new cluster starts with, and all that a machine is told.
-  /// @param voters voters that the group grows to.
+  /// @param founders the machines of a new cluster, and the only seed addresses of every machine.
+  /// @param voters target number of voters of the group.
   ControlHost(ClockQueue* clock, const std::string& name, std::vector<std::string> founders,
               size_t voters, const DisabledMechanisms& disabled, uint64_t seed,
               Callbacks callbacks);
 
-  /// First start of a founder of a new cluster.
+  /// Formats the disk of a founding machine before its first start.
   void Format();
   bool IsFounder() const { return FirstMemberId(name()) != 0; }
   void Start();
   void Kill();
-  /// Kill and replace the disk by an empty one.
+  /// Kills the process and replaces its disk by an empty one.
   void LoseDisk();
-  /// Stops as the product does on SIGTERM; `done` runs once the process is gone.
+  /// Shuts down as the product does on SIGTERM; `done` runs once the process has stopped.
   void PlannedStop(std::function<void()> done);
 
   void Receive(const wire::Envelope& envelope);
@@ -51,7 +51,8 @@
   void ReadStatus(control::TicketId ticket);
 
   bool Leads() const;
-  /// Configuration version that this machine's disk holds, synced, or -1 if it has none.
+  /// Returns the configuration version that is synced to this machine's disk, or -1 if the disk
+  /// cannot be recovered.
   int64_t DurableVersion();
   control::ControlServer* server() { return server_.get(); }
   size_t open_tickets() const { return open_tickets_; }
--- a/src/sim/history.cc
+++ b/src/sim/history.cc
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr size_t kRecentLines = 40;
-/// "A few seconds" of the brief, for a leaving back end.
+/// The requirements give a leaving back end "a few seconds".
 constexpr Duration kLeavingGrace = Seconds(4);
 
 }  // namespace
@@ -61,25 +61,25 @@
     CheckCoverage(time, call, answer);
   }
   if (!call.idempotency_key.empty()) {
-    CheckToldOutcome(time, call, answer);
+    CheckReportedOutcome(time, call, answer);
   }
   const bool refused = answer.code != ResultCode::kOk && answer.code != ResultCode::kPartial;
   if (refused && answer.run == query::RunState::kNotRun) {
-    not_run_.push_back({id, time});
+    not_run_refusals_.push_back({id, time});
   }
 }
 
-void History::CheckToldOutcome(Timestamp time, const CallRecord& call,
-                               const query::Answer& answer) {
-  const auto told = outcome_told_.find(call.idempotency_key);
+void History::CheckReportedOutcome(Timestamp time, const CallRecord& call,
+                                   const query::Answer& answer) {
+  const auto reported = outcome_reported_at_.find(call.idempotency_key);
   if (answer.code == ResultCode::kOk) {
-    if (told == outcome_told_.end() && answer.recorded) {
-      outcome_told_[call.idempotency_key] = time;
+    if (reported == outcome_reported_at_.end() && answer.recorded) {
+      outcome_reported_at_[call.idempotency_key] = time;
     }
     return;
   }
-  const bool asked_later = told != outcome_told_.end() && call.sent > told->second;
-  if (asked_later && answer.code == ResultCode::kAlreadyRunning) {
+  const bool sent_later = reported != outcome_reported_at_.end() && call.sent > reported->second;
+  if (sent_later && answer.code == ResultCode::kAlreadyRunning) {
     Fail(Invariant::kToldOutcomeStays, time,
          call.idempotency_key + ": its outcome was told and is not known any more");
   }
@@ -139,16 +139,16 @@
   }
 }
 
-void History::ExcuseCallsAt(const std::string& node) {
+void History::ExpectNoAnswersFrom(const std::string& node) {
   for (CallRecord& call : calls_) {
-    call.excused |= call.node == node && call.answers == 0;
+    call.no_answer_expected |= call.node == node && call.answers == 0;
   }
 }
 
 void History::OnPlannedStopDone(Timestamp time, const std::string& node) {
   for (CallRecord& call : calls_) {
-    if (call.node == node && call.answers == 0 && !call.excused) {
-      call.excused = true;
+    if (call.node == node && call.answers == 0 && !call.no_answer_expected) {
+      call.no_answer_expected = true;
       Fail(Invariant::kPlannedStop, time, node + " stopped without an answer to " + call.query);
     }
   }
@@ -170,22 +170,22 @@
 }
 
 void History::OnFatalRun(Timestamp time, const query::LeafRequest& request) {
-  constexpr size_t kEnds = 3;
-  constexpr Duration kWordEverywhere = Seconds(4);
-  // Three more attempts, each at one leaf and another one for lack of its answer.
-  constexpr size_t kMostLateRuns = 6;
-  const size_t ends = ++fatal_ends_[request.query];
-  Trace(time, absl::StrCat(request.query, " ends ", request.leaf, ", leaf number ", ends));
-  if (ends == kEnds) {
-    stopped_from_[request.query] = time + kWordEverywhere;
-  }
-  const auto from = stopped_from_.find(request.query);
-  if (from == stopped_from_.end() || time < from->second) {
+  constexpr size_t kCrashes = 3;
+  constexpr Duration kPropagationTime = Seconds(4);
+  // Three more attempts, each sent to one leaf and retried on a second one when no reply arrives.
+  constexpr size_t kMaxLateRuns = 6;
+  const size_t crashes = ++fatal_crashes_[request.query];
+  Trace(time, absl::StrCat(request.query, " ends ", request.leaf, ", leaf number ", crashes));
+  if (crashes == kCrashes) {
+    quarantine_due_[request.query] = time + kPropagationTime;
+  }
+  const auto from = quarantine_due_.find(request.query);
+  if (from == quarantine_due_.end() || time < from->second) {
     return;
   }
-  if (++late_fatal_runs_ == kMostLateRuns + 1) {
+  if (++late_fatal_runs_ == kMaxLateRuns + 1) {
     Fail(Invariant::kFatalRequestsStopped, time,
-         absl::StrCat(request.query, " still reaches leafs, ", ends, " have ended"));
+         absl::StrCat(request.query, " still reaches leafs, ", crashes, " have ended"));
   }
 }
 
@@ -214,10 +214,10 @@
       }
     }
   }
-  for (const NotRunClaim& claim : not_run_) {
-    const std::string& query = calls_[claim.call].query;
+  for (const NotRunRefusal& refusal : not_run_refusals_) {
+    const std::string& query = calls_[refusal.call].query;
     for (const emulator::RunRecord* run : runs_of_query[query]) {
-      if (run->started < claim.told || !BelongsToOtherAttempt(claim, *run)) {
+      if (run->started < refusal.refused_at || !BelongsToOtherAttempt(refusal, *run)) {
         Fail(Invariant::kNotRunIsProof, time, query + " was refused as not run, but ran");
         break;
       }
@@ -225,13 +225,13 @@
   }
 }
 
-bool History::BelongsToOtherAttempt(const NotRunClaim& claim,
+bool History::BelongsToOtherAttempt(const NotRunRefusal& refusal,
                                     const emulator::RunRecord& run) const {
-  const std::vector<uint64_t>& attempts = calls_of_query_.at(calls_[claim.call].query);
+  const std::vector<uint64_t>& attempts = calls_of_query_.at(calls_[refusal.call].query);
   return std::any_of(attempts.begin(), attempts.end(), [&](uint64_t id) {
     const CallRecord& attempt = calls_[id];
-    const bool open_then = !attempt.answered.has_value() || *attempt.answered > claim.told;
-    return id != claim.call && open_then && attempt.sent <= run.started &&
+    const bool open_then = !attempt.answered.has_value() || *attempt.answered > refusal.refused_at;
+    return id != refusal.call && open_then && attempt.sent <= run.started &&
            run.origin.starts_with(attempt.node + ".");
   });
 }
@@ -246,12 +246,12 @@
   }
   Trace(time, absl::StrCat("operator ", change.submission_id, " told ", result.code, " version ",
                            result.version));
-  const auto [told, first] = told_.try_emplace(change.submission_id, result);
+  const auto [known, first] = definite_results_.try_emplace(change.submission_id, result);
   if (!first) {
-    const bool same = told->second.code == result.code && told->second.version == result.version;
+    const bool same = known->second.code == result.code && known->second.version == result.version;
     if (!same) {
       Fail(Invariant::kConfigInForce, time,
-           absl::StrCat(change.submission_id, " was told ", told->second.code, " and then ",
+           absl::StrCat(change.submission_id, " was told ", known->second.code, " and then ",
                         result.code));
     }
     return;
@@ -311,7 +311,7 @@
 }
 
 void History::OnNodeProof(Timestamp time, const std::string& node, uint64_t version, Duration age) {
-  // Clocks run at rates up to a tenth apart.
+  // Clock rates differ by up to 10%.
   constexpr double kClockSkew = 1.1;
   const Timestamp proven = time - std::chrono::duration_cast<Duration>(age * kClockSkew);
   auto known = accepted_at_.lower_bound(proven);
@@ -345,7 +345,7 @@
       }
     }
   }
-  // The newest accepted change of each service's policy, if nothing newer was told.
+  // The newest accepted policy change of each service.
   std::map<std::string, const Accepted*> newest;
   for (const auto& [id, accepted] : accepted_) {
     const Accepted*& best = newest[accepted.change.service];
--- a/src/sim/history.h
+++ b/src/sim/history.h
@@ -1,4 +1,4 @@
-// What a simulated run looks like from outside, and the checks of the invariants on it.
+// Records the externally visible events of a simulated run and checks the invariants on them.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +22,7 @@
   std::string what;
 };
 
-/// One call of a caller, as the caller knows it.
+/// One request as seen by its caller.
 struct CallRecord {
   std::string query;
   std::string service;
@@ -33,8 +33,8 @@
   std::string node;
   int answers = 0;
   std::optional<Timestamp> answered = std::nullopt;
-  /// The node died without a planned stop: no answer is owed.
-  bool excused = false;
+  /// The node was killed, not stopped as planned: no answer is required.
+  bool no_answer_expected = false;
 };
 
 class History {
@@ -47,17 +47,17 @@
   // Callers.
   uint64_t OnCall(CallRecord call);
   void OnAnswer(Timestamp time, uint64_t call, const query::Answer& answer);
-  void ExcuseCallsAt(const std::string& node);
-  /// The node finished a planned stop: every call it got must have been answered.
+  void ExpectNoAnswersFrom(const std::string& node);
+  /// Records the end of a node's planned stop: every call it received must have been answered.
   void OnPlannedStopDone(Timestamp time, const std::string& node);
 
   // Leafs.
   void OnLeafLeaving(const std::string& leaf, Timestamp time);
-  void OnLeafBack(const std::string& leaf) { leaving_since_.erase(leaf); }
+  void OnLeafLeavingCancelled(const std::string& leaf) { leaving_since_.erase(leaf); }
   void OnLeafReceived(Timestamp time, const std::string& leaf);
-  /// A request that ends leafs has reached one.
+  /// Records that a fatal request has reached a leaf.
   void OnFatalRun(Timestamp time, const query::LeafRequest& request);
-  /// After everything healed: nothing is stopped but what is fatal.
+  /// Checks, after all faults are healed, that only the fatal request is quarantined.
   void CheckQuarantine(Timestamp time, const std::string& node,
                        const std::map<RequestIdentity, config::QuarantineRecord>& stopped,
                        const RequestIdentity& fatal);
@@ -69,11 +69,12 @@
   uint64_t accepted_version() const { return accepted_version_; }
   void OnConfigRead(Timestamp time, uint64_t version, uint64_t accepted_before);
   void OnNodeVersion(Timestamp time, const std::string& node, uint64_t version);
-  /// @param age how old the node takes its configuration to be, by its own clock.
+  /// @param age age of the node's configuration as the node computes it by its own clock.
   void OnNodeProof(Timestamp time, const std::string& node, uint64_t version, Duration age);
   void OnNodeStart(const std::string& node, uint64_t accepted_before);
   void OnPolicyInForce(const std::string& service, const std::string& policy);
-  /// After everything healed: the configuration of a node holds what operators were told.
+  /// Checks, after all faults are healed, that a node's configuration matches the results that
+  /// operators received.
   void CheckFinalConfig(Timestamp time, const std::string& node,
                         const std::map<std::string, config::Service>& services);
 
@@ -87,19 +88,19 @@
   uint64_t accepted_changes() const { return accepted_.size(); }
 
  private:
-  /// A call that was refused as "not run".
-  struct NotRunClaim {
+  /// A call that was refused with the run state "not run".
+  struct NotRunRefusal {
     uint64_t call;
-    Timestamp told;
+    Timestamp refused_at;
   };
 
-  /// Whether another attempt at the same work, at the same node, accounts for the run.
-  bool BelongsToOtherAttempt(const NotRunClaim& claim, const emulator::RunRecord& run) const;
+  /// Returns whether the run may belong to another attempt at the same work through the same node.
+  bool BelongsToOtherAttempt(const NotRunRefusal& refusal, const emulator::RunRecord& run) const;
   void CheckResults(Timestamp time, const CallRecord& call, const query::Answer& answer);
   void CheckCoverage(Timestamp time, const CallRecord& call, const query::Answer& answer);
-  /// Whoever asks again for work whose outcome was told gets that outcome, or hears that it could
-  /// not be looked up.
-  void CheckToldOutcome(Timestamp time, const CallRecord& call, const query::Answer& answer);
+  /// Checks that a repeat of a job with a reported outcome returns that outcome, or an error that
+  /// the outcome could not be looked up.
+  void CheckReportedOutcome(Timestamp time, const CallRecord& call, const query::Answer& answer);
 
   size_t results_per_shard_;
   std::vector<Violation> violations_;
@@ -110,33 +111,35 @@
 
   std::vector<CallRecord> calls_;
   std::map<std::string, std::vector<uint64_t>> calls_of_query_;
-  std::vector<NotRunClaim> not_run_;
-  /// When an outcome was told that the ledger had taken, by idempotency key.
-  std::map<std::string, Timestamp> outcome_told_;
+  std::vector<NotRunRefusal> not_run_refusals_;
+  /// Time at which an outcome recorded in the ledger was first reported, by idempotency key.
+  std::map<std::string, Timestamp> outcome_reported_at_;
   std::map<std::string, Timestamp> leaving_since_;
   uint64_t complete_answers_ = 0;
-  /// Since when a fatal query should be stopped: it has ended the third leaf, and the word had
-  /// time.
-  std::map<std::string, size_t> fatal_ends_;
-  std::map<std::string, Timestamp> stopped_from_;
+  /// Number of leafs that each fatal query has crashed.
+  std::map<std::string, size_t> fatal_crashes_;
+  /// Time from which each fatal query must be quarantined: after the third crash, plus the time
+  /// that the order takes to reach all nodes.
+  std::map<std::string, Timestamp> quarantine_due_;
   size_t late_fatal_runs_ = 0;
 
   struct Accepted {
     config::Change change;
     config::ChangeResult result;
   };
-  /// By submission id: what the operator was told, definitely.
-  std::map<std::string, config::ChangeResult> told_;
+  /// First definite result that the operator received, by submission id.
+  std::map<std::string, config::ChangeResult> definite_results_;
   std::map<std::string, Accepted> accepted_;
   std::map<std::pair<std::string, uint64_t>, std::string> accepted_on_revision_;
   std::map<uint64_t, std::string> submission_of_version_;
   std::map<std::string, std::string> refused_policies_;
   std::set<std::string> policies_in_force_;
   uint64_t accepted_version_ = 0;
-  /// When the operators had heard of so high a version.
+  /// Highest accepted version known to operators, by the time at which it became known.
   std::map<Timestamp, uint64_t> accepted_at_;
-  /// Nothing until the node has learned a configuration since its start.
+  /// Unset until the node has received a configuration since its start.
   std::map<std::string, std::optional<uint64_t>> node_version_;
+  /// Highest version accepted before the node's last start; the node must not start below it.
   std::map<std::string, uint64_t> node_floor_;
 };
 
--- a/src/sim/limit_fleet.cc
+++ b/src/sim/limit_fleet.cc
@@ -8,7 +8,7 @@
 constexpr Duration kStep = Milliseconds(2);
 constexpr Duration kTick = Milliseconds(10);
 constexpr Duration kControlInterval = Milliseconds(100);
-constexpr Duration kSilence = Milliseconds(1800);
+constexpr Duration kSilenceTimeout = Milliseconds(1800);
 
 }  // namespace
 
@@ -35,7 +35,7 @@
       std::make_unique<TenantLimits>(options_.limits, gateway.node, ++gateway.incarnation);
   gateway.draining = false;
   gateway.proven_at = Timestamp{};
-  gateway.told = 0;
+  gateway.sent_list = 0;
   std::vector<tenants::Tenant> tenants;
   for (const Demand& demand : demands_) {
     tenants.push_back(demand.tenant);
@@ -47,7 +47,7 @@
   Gateway& gateway = gateways_[i];
   gateway.limits.reset();
   gateway.waiting.clear();
-  gateway.frozen_until = Timestamp{};
+  gateway.paused_until = Timestamp{};
   if (!noticed) {
     return;
   }
@@ -64,7 +64,7 @@
 void SimulatedFleet::Drain(size_t i) { gateways_[i].draining = true; }
 
 void SimulatedFleet::Freeze(size_t i, Duration length) {
-  gateways_[i].frozen_until = std::max(gateways_[i].frozen_until, now_ + length);
+  gateways_[i].paused_until = std::max(gateways_[i].paused_until, now_ + length);
 }
 
 void SimulatedFleet::Cut(size_t i, bool in, bool out, Duration length) {
@@ -85,17 +85,17 @@
 void SimulatedFleet::Hide(size_t i, std::set<size_t> hidden, Duration length) {
   gateways_[i].hidden = std::move(hidden);
   gateways_[i].hidden_until = now_ + length;
-  gateways_[i].told = 0;
+  gateways_[i].sent_list = 0;
 }
 
 void SimulatedFleet::SetDemand(std::vector<Demand> demands) {
   demands_ = std::move(demands);
   counts_.assign(demands_.size(), {});
-  owed_.clear();
+  ideal_buckets_.clear();
   std::vector<tenants::Tenant> tenants;
   for (const Demand& demand : demands_) {
     tenants.push_back(demand.tenant);
-    owed_.push_back(
+    ideal_buckets_.push_back(
         {demand.tenant.requests_per_second, demand.tenant.burst, demand.tenant.burst, now_});
   }
   for (Gateway& gateway : gateways_) {
@@ -164,7 +164,7 @@
   At(now_ + delay, to, run);
 }
 
-void SimulatedFleet::Note(size_t tenant, bool granted, Duration retry_after) {
+void SimulatedFleet::RecordDecision(size_t tenant, bool granted, Duration retry_after) {
   TenantCount& count = counts_[tenant];
   if (granted) {
     ++count.granted;
@@ -181,7 +181,7 @@
   for (const LimitDecision& decision : out.decisions) {
     const auto it = gateway.waiting.find(decision.id.value);
     if (it != gateway.waiting.end()) {
-      Note(it->second, decision.granted, decision.retry_after);
+      RecordDecision(it->second, decision.granted, decision.retry_after);
       gateway.waiting.erase(it);
     }
   }
@@ -199,7 +199,7 @@
   for (const LimitWord& word : out.words) {
     const auto to = static_cast<size_t>(word.session >> 40);
     if (Session(to, i) != word.session) {
-      continue;  // Of a life that is over.
+      continue;  // The session belongs to a previous incarnation.
     }
     Deliver(i, to, [this, to, i, grant = word.grant] {
       gateways_[to].limits->OnGrant(now_, gateways_[i].node, grant);
@@ -220,7 +220,7 @@
       gateway.limits->Admit(now_, id, demands_[tenant].tenant, gateway.proven_at);
   if (answer.verdict != LimitVerdict::kWaiting) {
     gateway.waiting.erase(id.value);
-    Note(tenant, answer.verdict == LimitVerdict::kGranted, answer.retry_after);
+    RecordDecision(tenant, answer.verdict == LimitVerdict::kGranted, answer.retry_after);
   }
   Collect(i);
   if (count.granted > granted) {
@@ -232,13 +232,13 @@
   return std::nullopt;
 }
 
-std::optional<size_t> SimulatedFleet::Choose(const Demand& demand) {
+std::optional<size_t> SimulatedFleet::ChooseGateway(const Demand& demand) {
   constexpr int kTries = 20;
   std::uniform_int_distribution<size_t> any(0, gateways_.size() - 1);
   std::discrete_distribution<size_t> weighted(demand.weights.begin(), demand.weights.end());
   for (int i = 0; i < kTries; ++i) {
     const size_t gateway = demand.weights.empty() ? any(random_) : weighted(random_);
-    if (gateways_[gateway].limits != nullptr && !Frozen(gateway)) {
+    if (gateways_[gateway].limits != nullptr && !Paused(gateway)) {
       return gateway;
     }
   }
@@ -252,12 +252,12 @@
     std::poisson_distribution<int> arrivals(demand.per_second * seconds);
     const int count = demand.per_second > 0 ? arrivals(random_) : 0;
     for (int i = 0; i < count; ++i) {
-      const std::optional<size_t> gateway = Choose(demand);
+      const std::optional<size_t> gateway = ChooseGateway(demand);
       if (!gateway.has_value()) {
         continue;
       }
-      Refill(&owed_[tenant], now_);
-      counts_[tenant].owed += Take(&owed_[tenant], 1);
+      Refill(&ideal_buckets_[tenant], now_);
+      counts_[tenant].ideal_granted += Take(&ideal_buckets_[tenant], 1);
       AskAt(*gateway, tenant);
     }
   }
@@ -267,12 +267,12 @@
   std::set<size_t> listed;
   for (size_t i = 0; i < gateways_.size(); ++i) {
     Gateway& gateway = gateways_[i];
-    const bool speaks = gateway.limits != nullptr && !Frozen(i) && now_ >= gateway.out_cut_until &&
-                        now_ >= gateway.control_cut_until;
-    if (speaks) {
-      gateway.heard = now_;
+    const bool reachable = gateway.limits != nullptr && !Paused(i) &&
+                           now_ >= gateway.out_cut_until && now_ >= gateway.control_cut_until;
+    if (reachable) {
+      gateway.last_contact = now_;
       gateway.listed = !gateway.draining;
-    } else if (now_ - gateway.heard >= kSilence) {
+    } else if (now_ - gateway.last_contact >= kSilenceTimeout) {
       gateway.listed = false;
     }
     if (gateway.listed) {
@@ -287,9 +287,9 @@
   }
   for (size_t i = 0; i < gateways_.size(); ++i) {
     Gateway& gateway = gateways_[i];
-    const bool in_touch = now_ >= gateway.in_cut_until && now_ >= gateway.out_cut_until &&
-                          now_ >= gateway.control_cut_until;
-    if (gateway.limits == nullptr || Frozen(i) || !in_touch) {
+    const bool connected = now_ >= gateway.in_cut_until && now_ >= gateway.out_cut_until &&
+                           now_ >= gateway.control_cut_until;
+    if (gateway.limits == nullptr || Paused(i) || !connected) {
       continue;
     }
     auto list = lists_.rbegin();
@@ -297,22 +297,22 @@
       ++list;
     }
     gateway.proven_at = now_;
-    Tell(i, *list);
+    SendList(i, *list);
   }
 }
 
-void SimulatedFleet::Tell(size_t i, const List& list) {
+void SimulatedFleet::SendList(size_t i, const List& list) {
   Gateway& gateway = gateways_[i];
   const bool hides = now_ < gateway.hidden_until;
-  if (gateway.told == list.number && gateway.told_hidden == hides) {
+  if (gateway.sent_list == list.number && gateway.sent_hidden == hides) {
     return;
   }
   std::set<size_t> nodes = list.nodes;
   if (hides) {
-    std::erase_if(nodes, [&](size_t one) { return gateway.hidden.contains(one); });
+    std::erase_if(nodes, [&](size_t index) { return gateway.hidden.contains(index); });
   }
-  gateway.told = list.number;
-  gateway.told_hidden = hides;
+  gateway.sent_list = list.number;
+  gateway.sent_hidden = hides;
   gateway.limits->SetGateways(now_, Records(nodes));
   Collect(i);
 }
@@ -326,8 +326,8 @@
     if (gateway.limits == nullptr || gateway.incarnation != event.incarnation) {
       continue;
     }
-    if (Frozen(event.gateway)) {
-      events_.emplace(gateway.frozen_until, event);
+    if (Paused(event.gateway)) {
+      events_.emplace(gateway.paused_until, event);
       continue;
     }
     event.run();
@@ -343,7 +343,7 @@
   next_tick_ = now_ + kTick;
   for (size_t i = 0; i < gateways_.size(); ++i) {
     Gateway& gateway = gateways_[i];
-    if (gateway.limits != nullptr && !Frozen(i)) {
+    if (gateway.limits != nullptr && !Paused(i)) {
       gateway.limits->Tick(now_, gateway.proven_at);
       Collect(i);
     }
@@ -361,21 +361,21 @@
                                 Timestamp until) const {
   const LimitBound& bound = options_.limits.bound;
   const double window = std::chrono::duration<double>(bound.window).count();
-  const double most = (per_second * window + burst) * (1 + bound.overage) + bound.slack;
+  const double bound_count = (per_second * window + burst) * (1 + bound.overage) + bound.slack;
   const std::vector<Timestamp>& used = counts_[tenant].used;
-  double fullest = 0;
+  double max_fullness = 0;
   size_t end = 0;
-  // The fullest window begins with a use.
+  // The window with the most granted requests starts at a granted request.
   for (size_t begin = 0; begin < used.size(); ++begin) {
     end = std::max(end, begin);
     while (end < used.size() && used[end] <= used[begin] + bound.window) {
       ++end;
     }
     if (used[begin] >= from && used[begin] < until) {
-      fullest = std::max(fullest, static_cast<double>(end - begin) / most);
+      max_fullness = std::max(max_fullness, static_cast<double>(end - begin) / bound_count);
     }
   }
-  return fullest;
+  return max_fullness;
 }
 
 }  // namespace pumicedyke::limits
--- a/src/sim/limit_fleet.h
+++ b/src/sim/limit_fleet.h
@@ -1,5 +1,5 @@
-// Gateways with the limits of tenants alone, a control group that lists them, and a network that
-// loses, delays and cuts; in simulated time. Everything follows from the seed.
+// Simulates a fleet of gateways that only enforce tenant limits, a control group that lists them,
+// and a network with message loss, delays and partitions. Deterministic for a seed.
 #pragma once
 
 #include <cstdint>
@@ -24,11 +24,11 @@
   double message_loss = 0;
 };
 
-/// What a tenant sends.
+/// Offered load of a tenant.
 struct Demand {
   tenants::Tenant tenant;
   double per_second = 0;
-  /// By gateway; empty: evenly.
+  /// Share of each gateway; empty means an even distribution.
   std::vector<double> weights;
 };
 
@@ -36,8 +36,8 @@
   uint64_t asked = 0;
   uint64_t granted = 0;
   uint64_t refused = 0;
-  /// What one token bucket that knew everything would have granted.
-  uint64_t owed = 0;
+  /// Requests that a single global token bucket would have granted.
+  uint64_t ideal_granted = 0;
   std::vector<Timestamp> used;
   std::vector<Duration> retry_after;
 };
@@ -47,29 +47,30 @@
   explicit SimulatedFleet(FleetOptions options);
 
   void SetDemand(std::vector<Demand> demands);
-  /// A tenant's limit by a new document; all gateways take it over within `spread`.
+  /// Changes a tenant's limit; every gateway applies the change at a random time within `spread`.
   void SetLimit(size_t tenant, double per_second, double burst, Duration spread);
   void Run(Duration length);
-  /// Asks at one gateway now. @return unset: it waits.
+  /// Requests admission at a gateway now. @return unset if the decision is pending.
   std::optional<bool> AskAt(size_t gateway, size_t tenant);
 
-  // Faults. `lag` and hidden ones of Hide() stand for what gateways may know differently.
+  // Faults. Lag() and Hide() model gateways with different views of the fleet.
   void Kill(size_t gateway, bool noticed);
   void Start(size_t gateway);
-  /// Leaves the list first, and ends later.
+  /// Removes the gateway from the list while its process keeps running.
   void Drain(size_t gateway);
   void Freeze(size_t gateway, Duration length);
-  /// No message passes to others and control, or in one direction only.
+  /// Drops all messages into or out of the gateway, or both, control included.
   void Cut(size_t gateway, bool in, bool out, Duration length);
+  /// Delays the gateway lists that control sends to the gateway.
   void Lag(size_t gateway, Duration lag);
-  /// No message passes to and from control.
+  /// Drops all messages between the gateway and control.
   void CutFromControl(size_t gateway, Duration length);
-  /// The gateway is told of a list without these.
+  /// Omits gateways from the lists that control sends to the gateway.
   void Hide(size_t gateway, std::set<size_t> hidden, Duration length);
   size_t AddGateway();
 
   size_t size() const { return gateways_.size(); }
-  /// @return null if it is down.
+  /// @return null if the gateway is down.
   const TenantLimits* limits(size_t gateway) const { return gateways_[gateway].limits.get(); }
   Timestamp now() const { return now_; }
   const TenantCount& count(size_t tenant) const { return counts_[tenant]; }
@@ -77,11 +78,12 @@
   uint64_t messages_sent_by(size_t gateway) const { return gateways_[gateway].sent; }
   std::mt19937_64& random() { return random_; }
   double Chance() { return std::uniform_real_distribution<>(0, 1)(random_); }
-  /// The gateway that keeps a tenant's account, by the list of control; nobody is listed: 0.
+  /// Returns the primary lender of a tenant's account according to control's list; 0 if no gateway
+  /// is listed.
   size_t KeeperOf(size_t tenant, uint32_t part = 0) const;
 
-  /// The fullest window of a tenant that begins at `from` or later, over what it may hold by the
-  /// limit; above one: the bound is broken.
+  /// Returns the highest number of granted requests in any window that starts within [from, until),
+  /// divided by the bound on it. A value above one means that the bound is violated.
   double Fullness(size_t tenant, double per_second, double burst, Timestamp from,
                   Timestamp until) const;
 
@@ -92,22 +94,22 @@
     uint64_t incarnation = 0;
     bool draining = false;
     bool listed = false;
-    Timestamp heard{};
+    Timestamp last_contact{};
     Timestamp proven_at{};
-    Timestamp frozen_until{};
+    Timestamp paused_until{};
     Timestamp in_cut_until{};
     Timestamp out_cut_until{};
     Timestamp control_cut_until{};
     std::set<size_t> hidden;
     Timestamp hidden_until{};
     Duration lag{};
-    /// Number of the list that it was told; zero: none.
-    uint64_t told = 0;
-    bool told_hidden = false;
+    /// Number of the list last sent to the gateway; zero if none.
+    uint64_t sent_list = 0;
+    bool sent_hidden = false;
     std::map<uint64_t, size_t> waiting;
     uint64_t sent = 0;
   };
-  /// What control lists since then.
+  /// The gateways that control lists from `since` on.
   struct List {
     Timestamp since{};
     uint64_t number = 0;
@@ -122,16 +124,16 @@
   void Step();
   void Control();
   void Arrivals();
-  /// A gateway that serves; none could be found: unset.
-  std::optional<size_t> Choose(const Demand& demand);
-  void Tell(size_t gateway, const List& list);
+  /// Returns a random running gateway; unset if none was found.
+  std::optional<size_t> ChooseGateway(const Demand& demand);
+  void SendList(size_t gateway, const List& list);
   void Collect(size_t gateway);
   void Deliver(size_t from, size_t to, const std::function<void()>& run);
-  void Note(size_t tenant, bool granted, Duration retry_after);
+  void RecordDecision(size_t tenant, bool granted, Duration retry_after);
   void At(Timestamp when, size_t gateway, std::function<void()> run);
-  bool Frozen(size_t gateway) const { return now_ < gateways_[gateway].frozen_until; }
+  bool Paused(size_t gateway) const { return now_ < gateways_[gateway].paused_until; }
   std::optional<size_t> AtAddress(const std::string& address) const;
-  /// Number of the connection by which one gateway asks another.
+  /// Returns the id of the connection by which gateway `from` sends limit requests to `to`.
   uint64_t Session(size_t from, size_t to) const;
   std::vector<LimitGateway> Records(const std::set<size_t>& listed) const;
 
@@ -141,8 +143,8 @@
   std::deque<Gateway> gateways_;
   std::vector<Demand> demands_;
   std::vector<TenantCount> counts_;
-  /// Token buckets that know everything.
-  std::vector<TokenBucket> owed_;
+  /// One global token bucket for each tenant, as the reference.
+  std::vector<TokenBucket> ideal_buckets_;
   std::multimap<Timestamp, Event> events_;
   std::deque<List> lists_;
   std::map<std::string, size_t> by_address_;
--- a/src/sim/mechanisms.h
+++ b/src/sim/mechanisms.h
@@ -1,4 +1,4 @@
-// The mechanisms whose absence the simulator must notice, and the invariants that notice it.
+// The mechanisms that the simulator can disable, and the invariants that must then be violated.
 #pragma once
 
 #include <set>
@@ -8,7 +8,7 @@
 
 namespace pumicedyke::sim {
 
-/// The brief's "What must always hold", in its order.
+/// The invariants, in the order of the requirements' section "What must always hold".
 enum class Invariant {
   kOneSnapshot,
   kTruthfulCoverage,
@@ -26,14 +26,14 @@
 struct Mechanism {
   std::string_view name;
   Invariant guards;
-  /// Scenario in which its absence shows soonest.
+  /// Scenario that detects the missing mechanism soonest.
   std::string_view scenario;
   std::string_view what;
 };
 const std::vector<Mechanism>& AllMechanisms();
 const Mechanism* FindMechanism(std::string_view name);
 
-/// The mechanisms switched off in a run; empty in the product.
+/// Names of the mechanisms that are disabled in a run; empty in the product.
 using DisabledMechanisms = std::set<std::string, std::less<>>;
 
 }  // namespace pumicedyke::sim
--- a/src/sim/nemesis.cc
+++ b/src/sim/nemesis.cc
@@ -9,7 +9,7 @@
 namespace pumicedyke::sim {
 namespace {
 
-/// A machine with a new disk is a voter again within this, and counts as lost until then.
+/// Time in which a machine with a new disk becomes a voter again; until then it counts as lost.
 constexpr Duration kCatchUp = Seconds(4);
 
 }  // namespace
@@ -19,8 +19,8 @@
   Loop();
 }
 
-void Nemesis::Later(int64_t low_ms, int64_t high_ms, std::function<void()> undo) {
-  world_->clock.After(Milliseconds(world_->Between(low_ms, high_ms)), std::move(undo));
+void Nemesis::AfterRandomDelay(int64_t low_ms, int64_t high_ms, std::function<void()> action) {
+  world_->clock.After(Milliseconds(world_->Between(low_ms, high_ms)), std::move(action));
 }
 
 void Nemesis::Loop() {
@@ -28,30 +28,30 @@
     return;
   }
   const int64_t mean_ms = interval_.count() / 1000;
-  Later(mean_ms / 2, mean_ms * 3 / 2, [this] {
+  AfterRandomDelay(mean_ms / 2, mean_ms * 3 / 2, [this] {
     if (world_->clock.now() >= end_) {
       return;
     }
     const auto last = static_cast<int64_t>(faults_.size()) - 1;
-    Bring(faults_[static_cast<size_t>(world_->Between(0, last))]);
+    Inject(faults_[static_cast<size_t>(world_->Between(0, last))]);
     Loop();
   });
 }
 
-void Nemesis::Bring(Fault fault) {
+void Nemesis::Inject(Fault fault) {
   switch (fault) {
     case Fault::kKillLeaf:
       return KillLeaf();
     case Fault::kKillAllLeafs:
       return KillAllLeafs();
-    case Fault::kFreezeLeaf:
-      return FreezeLeaf();
+    case Fault::kPauseLeaf:
+      return PauseLeaf();
     case Fault::kLeaveLeaf:
       return LeaveLeaf();
     case Fault::kKillNode:
       return KillNode();
-    case Fault::kFreezeNode:
-      return FreezeNode();
+    case Fault::kPauseNode:
+      return PauseNode();
     case Fault::kPlannedStopNode:
       return PlannedStopNode();
     case Fault::kKillControl:
@@ -61,8 +61,8 @@
         KillControl(i);
       }
       return;
-    case Fault::kFreezeLeader:
-      return FreezeLeader();
+    case Fault::kPauseLeader:
+      return PauseLeader();
     case Fault::kCutLeader:
       return CutLeader();
     case Fault::kCutControlFromNodes:
@@ -89,21 +89,21 @@
 void Nemesis::KillLeaf() {
   const std::string leaf = RandomLeaf();
   world_->KillLeaf(leaf);
-  Later(300, 1500, [this, leaf] { world_->StartLeaf(leaf); });
+  AfterRandomDelay(300, 1500, [this, leaf] { world_->StartLeaf(leaf); });
 }
 
 void Nemesis::KillAllLeafs() {
   for (const auto& [name, leaf] : world_->leafs) {
     world_->KillLeaf(name);
-    Later(200, 900, [this, name = name] { world_->StartLeaf(name); });
+    AfterRandomDelay(200, 900, [this, name = name] { world_->StartLeaf(name); });
   }
 }
 
-void Nemesis::FreezeLeaf() {
+void Nemesis::PauseLeaf() {
   const std::string leaf = RandomLeaf();
   world_->history.Trace(world_->clock.now(), "freeze " + leaf);
-  world_->leafs.at(leaf)->Freeze();
-  Later(200, 1500, [this, leaf] { world_->leafs.at(leaf)->Thaw(); });
+  world_->leafs.at(leaf)->Pause();
+  AfterRandomDelay(200, 1500, [this, leaf] { world_->leafs.at(leaf)->Resume(); });
 }
 
 void Nemesis::LeaveLeaf() {
@@ -111,43 +111,43 @@
   if (world_->leaving(leaf)) {
     return;
   }
-  const auto how = static_cast<World::LeaveBy>(world_->Between(0, 2));
+  const auto how = static_cast<World::LeaveMethod>(world_->Between(0, 2));
   world_->MakeLeafLeave(leaf, how);
-  Later(6000, 9000, [this, leaf] { world_->LeafStays(leaf); });
+  AfterRandomDelay(6000, 9000, [this, leaf] { world_->CancelLeafLeaving(leaf); });
 }
 
 void Nemesis::KillNode() {
   const size_t node = RandomNode();
   world_->KillNode(node);
-  Later(50, 600, [this, node] { world_->StartNode(node); });
+  AfterRandomDelay(50, 600, [this, node] { world_->StartNode(node); });
 }
 
-void Nemesis::FreezeNode() {
+void Nemesis::PauseNode() {
   const size_t node = RandomNode();
   world_->history.Trace(world_->clock.now(), absl::StrCat("freeze node ", node));
-  world_->nodes[node]->Freeze();
-  Later(100, 900, [this, node] { world_->nodes[node]->Thaw(); });
+  world_->nodes[node]->Pause();
+  AfterRandomDelay(100, 900, [this, node] { world_->nodes[node]->Resume(); });
 }
 
 void Nemesis::PlannedStopNode() {
   const size_t node = RandomNode();
   world_->PlannedStopNode(node);
-  Later(1500, 2500, [this, node] { world_->StartNode(node); });
+  AfterRandomDelay(1500, 2500, [this, node] { world_->StartNode(node); });
 }
 
 void Nemesis::KillControl(size_t index) {
   world_->KillControl(index);
-  Later(100, 1200, [this, index] { world_->StartControl(index); });
+  AfterRandomDelay(100, 1200, [this, index] { world_->StartControl(index); });
 }
 
-void Nemesis::FreezeLeader() {
+void Nemesis::PauseLeader() {
   const std::optional<size_t> leader = world_->LeaderIndex();
   if (!leader.has_value()) {
     return;
   }
   world_->history.Trace(world_->clock.now(), absl::StrCat("freeze leader ", *leader));
-  world_->controls[*leader]->Freeze();
-  Later(500, 2500, [this, index = *leader] { world_->controls[index]->Thaw(); });
+  world_->controls[*leader]->Pause();
+  AfterRandomDelay(500, 2500, [this, index = *leader] { world_->controls[index]->Resume(); });
 }
 
 void Nemesis::CutLeader() {
@@ -155,7 +155,8 @@
   if (!leader.has_value()) {
     return;
   }
-  // From the other machines only: nodes and operators still reach it, and it knows nothing.
+  // Cut only from the other machines: nodes and operators still reach the leader, which gets no
+  // notice of the cut.
   const std::string name = world_->controls[*leader]->name();
   world_->history.Trace(world_->clock.now(), "cut " + name + " from its peers");
   for (const auto& other : world_->controls) {
@@ -163,7 +164,7 @@
       world_->network.CutBoth(name, other->name());
     }
   }
-  Later(1500, 3000, [this] { world_->network.HealAll(); });
+  AfterRandomDelay(1500, 3000, [this] { world_->network.HealAll(); });
 }
 
 void Nemesis::CutControlFromNodes() {
@@ -175,7 +176,7 @@
       }
     }
   }
-  Later(1000, 3500, [this] { world_->network.HealAll(); });
+  AfterRandomDelay(1000, 3500, [this] { world_->network.HealAll(); });
 }
 
 void Nemesis::OneWayCut() {
@@ -183,31 +184,32 @@
   const size_t to = (from + static_cast<size_t>(world_->Between(1, 2))) % 3;
   world_->history.Trace(world_->clock.now(), absl::StrCat("one-way cut ", from, " to ", to));
   world_->network.Cut(world_->controls[from]->name(), world_->controls[to]->name());
-  Later(800, 2500, [this] { world_->network.HealAll(); });
+  AfterRandomDelay(800, 2500, [this] { world_->network.HealAll(); });
 }
 
 void Nemesis::LoseDisk() {
-  // The brief's failure is a second loss right after a repair, not during it.
+  // The required fault is a second loss right after a repair, not during it.
   if (world_->repair_pending) {
     return;
   }
   const size_t index = world_->LeaderIndex().value_or(RandomControl());
   const size_t other = (index + 1) % 3;
   const size_t third = (index + 2) % 3;
-  // First one replica is left behind, so that the lost disk and the leader hold the newest alone.
+  // Cuts off one replica first, so that only the leader and the disk to be lost hold the newest
+  // entries.
   world_->network.CutBoth(world_->controls[third]->name(), world_->controls[index]->name());
   world_->network.CutBoth(world_->controls[third]->name(), world_->controls[other]->name());
-  Later(300, 900, [this, index, other, third] {
+  AfterRandomDelay(300, 900, [this, index, other, third] {
     if (world_->repair_pending) {
       return;
     }
     world_->LoseDisk(other);
     world_->StartControl(other);
-    // At the same time the one machine that holds the newest alone is cut off.
+    // At the same time, cuts off the only machine that still holds the newest entries.
     world_->network.HealAll();
     world_->network.CutBoth(world_->controls[index]->name(), world_->controls[other]->name());
     world_->network.CutBoth(world_->controls[index]->name(), world_->controls[third]->name());
-    Later(900, 1500, [this] { world_->network.HealAll(); });
+    AfterRandomDelay(900, 1500, [this] { world_->network.HealAll(); });
     WatchRepair(world_->repairs);
   });
 }
@@ -217,9 +219,9 @@
     return;
   }
   disks_busy_until_ = world_->clock.now() + Seconds(20);
-  // Another machine leads from now on, perhaps one that the lost machine was not told of.
+  // Forces a new leader, perhaps one whose address the machine that loses its disk does not know.
   KillControl(world_->LeaderIndex().value_or(RandomControl()));
-  Later(1500, 2000, [this] {
+  AfterRandomDelay(1500, 2000, [this] {
     const size_t first = RandomControl();
     LoseDiskBriefly(first);
     world_->clock.After(kCatchUp, [this, first] { LoseTwoMoreDisks(first); });
@@ -228,7 +230,7 @@
 
 void Nemesis::LoseDiskBriefly(size_t index) {
   world_->LoseDisk(index);
-  Later(20, 60, [this, index] { world_->StartControl(index); });
+  AfterRandomDelay(20, 60, [this, index] { world_->StartControl(index); });
 }
 
 void Nemesis::LoseTwoMoreDisks(size_t first) {
@@ -246,16 +248,16 @@
 }
 
 void Nemesis::WatchRepair(uint64_t repairs_before) {
-  Later(20, 60, [this, repairs_before] {
+  AfterRandomDelay(20, 60, [this, repairs_before] {
     if (world_->repairs == repairs_before) {
       WatchRepair(repairs_before);
       return;
     }
-    // Right after a repair, not during the next one: another fault may have taken a disk meanwhile.
+    // Another fault may have lost a disk meanwhile; the second loss must not hit during a repair.
     if (world_->clock.now() < end_ && !world_->repair_pending) {
       const size_t second = RandomControl();
       world_->LoseDisk(second);
-      Later(100, 500, [this, second] { world_->StartControl(second); });
+      AfterRandomDelay(100, 500, [this, second] { world_->StartControl(second); });
     }
   });
 }
@@ -263,8 +265,8 @@
 void Nemesis::PlannedStopControl() {
   const size_t index = world_->LeaderIndex().value_or(RandomControl());
   world_->PlannedStopControl(index);
-  // A stop takes as long as its longest pending answer; only then is the machine started again.
-  Later(4000, 4500, [this, index] { world_->StartControl(index); });
+  // A stop lasts until the last pending answer is sent; the machine is started again after that.
+  AfterRandomDelay(4000, 4500, [this, index] { world_->StartControl(index); });
 }
 
 void Nemesis::BadNetwork() {
@@ -274,7 +276,7 @@
   options.slow = 0.1;
   world_->history.Trace(world_->clock.now(), "bad network");
   world_->network.SetOptions(options);
-  Later(800, 2500, [this] { world_->network.SetOptions({}); });
+  AfterRandomDelay(800, 2500, [this] { world_->network.SetOptions({}); });
 }
 
 }  // namespace pumicedyke::sim
--- a/src/sim/nemesis.h
+++ b/src/sim/nemesis.h
@@ -1,4 +1,4 @@
-// Brings about failures at seeded random moments, several at once if the scenario says so.
+// Injects faults at seeded random times; faults may overlap if the scenario's interval is short.
 #pragma once
 
 #include <set>
@@ -13,14 +13,14 @@
 enum class Fault {
   kKillLeaf,
   kKillAllLeafs,
-  kFreezeLeaf,
+  kPauseLeaf,
   kLeaveLeaf,
   kKillNode,
-  kFreezeNode,
+  kPauseNode,
   kPlannedStopNode,
   kKillControl,
   kKillAllControls,
-  kFreezeLeader,
+  kPauseLeader,
   kCutLeader,
   kCutControlFromNodes,
   kOneWayCut,
@@ -39,16 +39,16 @@
 
  private:
   void Loop();
-  void Bring(Fault fault);
+  void Inject(Fault fault);
   void KillLeaf();
   void KillAllLeafs();
-  void FreezeLeaf();
+  void PauseLeaf();
   void LeaveLeaf();
   void KillNode();
-  void FreezeNode();
+  void PauseNode();
   void PlannedStopNode();
   void KillControl(size_t index);
-  void FreezeLeader();
+  void PauseLeader();
   void CutLeader();
   void CutControlFromNodes();
   void OneWayCut();
@@ -59,7 +59,7 @@
   void WatchRepair(uint64_t repairs_before);
   void PlannedStopControl();
   void BadNetwork();
-  void Later(int64_t low_ms, int64_t high_ms, std::function<void()> undo);
+  void AfterRandomDelay(int64_t low_ms, int64_t high_ms, std::function<void()> action);
   std::string RandomLeaf();
   size_t RandomNode() { return static_cast<size_t>(world_->Between(0, 1)); }
   size_t RandomControl() {
@@ -71,7 +71,7 @@
   std::vector<Fault> faults_;
   Duration interval_;
   Timestamp end_{};
-  /// Until then LoseDisksInTurn() is at work.
+  /// LoseDisksInTurn() is in progress until this time.
   Timestamp disks_busy_until_{};
 };
 
--- a/src/sim/node_host.cc
+++ b/src/sim/node_host.cc
@@ -7,9 +7,9 @@
 namespace {
 
 constexpr Duration kStopGrace = Milliseconds(500);
-constexpr Duration kFirstReportPatience = Seconds(5);
+constexpr Duration kFirstReportTimeout = Seconds(5);
 constexpr Duration kMaxConfigAge = Seconds(3);
-constexpr Duration kShortestTick = Milliseconds(1);
+constexpr Duration kMinTickInterval = Milliseconds(1);
 
 }  // namespace
 
@@ -29,7 +29,7 @@
   options_.ledger_before_dispatch = !disabled_.contains("ledger-before-dispatch");
   options_.record_before_answer = !disabled_.contains("record-before-answer");
   options_.wait_for_platform = true;
-  options_.knobs.first_report_patience = kFirstReportPatience;
+  options_.knobs.first_report_patience = kFirstReportTimeout;
   options_.max_config_age = kMaxConfigAge;
   options_.leaving_mark = !disabled_.contains("leaving-mark");
 }
@@ -63,8 +63,8 @@
 void NodeHost::Step() {
   server_->Tick(LocalNow());
   CarryOut();
-  const bool over = stopped_ != nullptr && LocalNow() >= stop_not_before_ && server_->Drained();
-  if (over) {
+  const bool can_stop = stopped_ != nullptr && LocalNow() >= stop_not_before_ && server_->Drained();
+  if (can_stop) {
     std::function<void()> stopped = std::move(stopped_);
     Kill();
     stopped();
@@ -75,9 +75,9 @@
 
 void NodeHost::ScheduleTick() {
   const Timestamp now = LocalNow();
-  const Timestamp wake = std::max(server_->NextWake(now), now + kShortestTick);
-  const bool one_is_sooner = next_tick_ > now && next_tick_ <= wake;
-  if (one_is_sooner) {
+  const Timestamp wake = std::max(server_->NextWake(now), now + kMinTickInterval);
+  const bool already_scheduled = next_tick_ > now && next_tick_ <= wake;
+  if (already_scheduled) {
     return;
   }
   next_tick_ = wake;
--- a/src/sim/node_host.h
+++ b/src/sim/node_host.h
@@ -28,17 +28,18 @@
 
   void Start();
   void Kill();
-  /// Stops as the product does on SIGTERM.
+  /// Shuts down as the product does on SIGTERM.
   void PlannedStop(std::function<void()> done);
   bool stopping() const { return stopped_ != nullptr; }
 
   void Ask(RequestId id, const query::CallerRequest& request);
-  /// Replies to an earlier life come too: ids must tell them apart.
+  /// Delivers a reply. Replies to a previous incarnation are delivered, too; the node must tell
+  /// them apart by their ids.
   void Reply(const query::LeafReply& reply);
   void Health(const std::string& leaf, bool draining);
   void PlatformLeaving(const std::set<std::string>& leafs);
   void ReceiveFromControl(const wire::Envelope& envelope);
-  /// The control machine of this index closed the connection.
+  /// Notifies the node that the control machine with this index closed the connection.
   void ControlClosed(size_t control);
 
   uint64_t incarnation() const { return incarnation_; }
--- a/src/sim/scenario.cc
+++ b/src/sim/scenario.cc
@@ -12,8 +12,8 @@
 constexpr Duration kRestart = Seconds(1);
 constexpr Duration kProbe = Seconds(3);
 
-/// After everything healed, each node must serve both services completely and the group must
-/// accept a change: what was lost for good shows here.
+/// Checks, after all faults are healed, that each node serves both services completely and that the
+/// control group accepts a change. Detects permanent loss.
 class FinalProbe {
  public:
   explicit FinalProbe(World* world) : world_(world) {}
@@ -23,8 +23,8 @@
       Ask(node, kReadService);
       Ask(node, kJobService);
     }
-    world_->SubmitPatiently(world_->MakePolicyChange(kReadService, "final-probe"),
-                            [this] { accepted_ = true; });
+    world_->SubmitUntilAccepted(world_->MakePolicyChange(kReadService, "final-probe"),
+                                [this] { accepted_ = true; });
   }
 
   void Check() {
@@ -42,17 +42,17 @@
   void Ask(size_t node, const std::string& service) {
     query::CallerRequest request;
     request.service = service;
-    request.query = absl::StrCat("probe ", node, " ", service, " ", ++asked_);
+    request.query = absl::StrCat("probe ", node, " ", service, " ", ++request_count_);
     request.request_class = "full";
     if (service == kJobService) {
       request.idempotency_key = request.query;
     }
-    // A straggler may cost one probe its deadline; the next one must do.
+    // A straggler may make one probe miss its deadline, so a failed probe is retried.
     constexpr int kTries = 20;
     world_->Ask(node, request, [this, node, service](const query::Answer& answer) {
       if (answer.code == ResultCode::kOk) {
         ++answers_;
-      } else if (asked_ < kTries * 4) {
+      } else if (request_count_ < kTries * 4) {
         world_->clock.After(Milliseconds(50), [this, node, service] { Ask(node, service); });
       }
     });
@@ -60,7 +60,7 @@
 
   World* world_;
   size_t answers_ = 0;
-  int asked_ = 0;
+  int request_count_ = 0;
   bool accepted_ = false;
 };
 
@@ -75,82 +75,85 @@
   }
 }
 
-/// Submits changes one after the other; each waits for the one before.
+/// Submits changes one after the other, each after the previous one was accepted.
 void SubmitInTurn(World* world, int remaining, const std::shared_ptr<bool>& done) {
   if (remaining == 0) {
     *done = true;
     return;
   }
-  world->SubmitPatiently(world->MakePolicyChange(kReadService, absl::StrCat("first-", remaining)),
-                         [world, remaining, done] { SubmitInTurn(world, remaining - 1, done); });
+  world->SubmitUntilAccepted(
+      world->MakePolicyChange(kReadService, absl::StrCat("first-", remaining)),
+      [world, remaining, done] { SubmitInTurn(world, remaining - 1, done); });
 }
 
 }  // namespace
 
 const std::vector<Scenario>& AllScenarios() {
   using enum Fault;
-  const OperatorOptions racing{.races = true, .longest_pause = Milliseconds(500)};
-  const OperatorOptions busy{.longest_pause = Milliseconds(200)};
+  const OperatorOptions racing{.races = true, .max_pause = Milliseconds(500)};
+  const OperatorOptions busy{.max_pause = Milliseconds(200)};
   const OperatorOptions repartitioning{.repartitions = true};
   static const auto* const scenarios = new std::vector<Scenario>{
       {.name = "calm", .what = "no failures"},
       {.name = "stragglers",
-       .what = "leafs straggle, pause and stand still",
-       .faults = {kFreezeLeaf},
+       .what = "leafs straggle and pause",
+       .faults = {kPauseLeaf},
        .fault_interval = Milliseconds(500),
-       .nasty_leafs = true},
+       .faulty_leafs = true},
       {.name = "lost-replica",
-       .what = "leafs are lost and come back",
-       .faults = {kKillLeaf, kFreezeLeaf},
+       .what = "leafs crash or pause, and recover",
+       .faults = {kKillLeaf, kPauseLeaf},
        .fault_interval = Milliseconds(400)},
       {.name = "repartition",
        .what = "snapshots with other partition maps are published under traffic; leafs lag",
        .faults = {kKillLeaf},
        .fault_interval = Seconds(2),
        .operators = repartitioning,
-       .nasty_leafs = true},
+       .faulty_leafs = true},
       {.name = "node-restart",
-       .what = "nodes are killed or stand still, and callers press again",
-       .faults = {kKillNode, kFreezeNode},
+       .what = "nodes are killed or paused, and callers retry",
+       .faults = {kKillNode, kPauseNode},
        .fault_interval = Milliseconds(600)},
       {.name = "control-crash",
        .what = "the leader or all control machines crash",
        .faults = {kKillControl, kKillAllControls},
        .fault_interval = Milliseconds(1300)},
       {.name = "cut-leader",
-       .what = "the leader is cut off from its peers and does not know; nodes restart meanwhile",
+       .what = "the leader is cut off from its peers without notice; nodes restart meanwhile",
        .faults = {kCutLeader, kKillNode, kOneWayCut},
        .fault_interval = Milliseconds(500),
        .operators = busy},
       {.name = "frozen-leader",
-       .what = "the leader stands still past its lease and goes on",
-       .faults = {kFreezeLeader, kKillNode},
+       .what = "the leader is paused past its lease and resumes",
+       .faults = {kPauseLeader, kKillNode},
        .fault_interval = Milliseconds(700)},
       {.name = "lost-disk",
-       .what = "a disk is lost while another machine is cut off; a second right after the repair",
+       .what =
+           "a disk is lost while another machine is cut off; a second one right after the repair",
        .faults = {kLoseDisk},
        .fault_interval = Milliseconds(1500),
        .length = Seconds(9)},
       {.name = "rejoin",
-       .what =
-           "of five control machines one loses its disk and, once it had the time to be a voter "
-           "again, two more do while all others are killed",
+       .what = "one of five control machines loses its disk; after the time in which it becomes a "
+               "voter "
+               "again, two more lose theirs while all others are killed",
        .faults = {kLoseDisksInTurn},
        .fault_interval = Milliseconds(300),
        .control_machines = 5,
        .length = Seconds(9)},
       {.name = "racing-operators",
-       .what = "two operators submit on one revision, and resend when answers are lost",
+       .what = "two operators submit changes on the same revision and resend when answers are lost",
        .faults = {kBadNetwork, kKillControl},
        .fault_interval = Milliseconds(1200),
        .operators = racing},
       {.name = "drain",
-       .what = "leafs leave by configuration, platform list or own word; nodes lose control",
+       .what = "leafs leave by configuration, platform list or health report; nodes lose their "
+               "connections to control",
        .faults = {kLeaveLeaf, kCutControlFromNodes},
        .fault_interval = Milliseconds(1000),
        .length = Seconds(10)},
       {.name = "planned-stop",
-       .what = "nodes and the leader are stopped as planned, under load",
+       .what = "planned stops of nodes and of the leader under load",
        .faults = {kPlannedStopNode, kPlannedStopControl},
        .fault_interval = Milliseconds(900),
        .operators = racing},
@@ -158,50 +161,50 @@
        .what = "control restarts after hundreds of changes",
        .faults = {kKillAllControls, kKillNode},
        .fault_interval = Milliseconds(1500),
-       .changes_first = 300,
+       .initial_changes = 300,
        .length = Seconds(4)},
       {.name = "bad-network",
-       .what = "messages are lost, doubled and overtaken",
+       .what = "messages are lost, duplicated and reordered",
        .faults = {kBadNetwork, kOneWayCut, kCutControlFromNodes},
        .fault_interval = Milliseconds(700),
        .operators = racing},
       {.name = "skewed-clocks",
-       .what = "clocks run at rates up to 9% apart while the leader is cut off or stands still",
-       .faults = {kCutLeader, kFreezeLeader, kKillNode},
+       .what = "clocks run at rates up to 9% apart while the leader is cut off or paused",
+       .faults = {kCutLeader, kPauseLeader, kKillNode},
        .fault_interval = Milliseconds(800),
        .skewed_clocks = true},
       {.name = "fatal-query",
-       .what = "a query that ends every leaf that runs it comes again and again, at either node",
-       .faults = {kKillLeaf, kFreezeLeaf, kKillNode},
+       .what = "a query that crashes every leaf that runs it is sent repeatedly to either node",
+       .faults = {kKillLeaf, kPauseLeaf, kKillNode},
        .fault_interval = Milliseconds(1500),
        .fatal_caller = true,
        .length = Seconds(12)},
       {.name = "fatal-query-control",
-       .what = "the same, while control machines crash and are cut off",
-       .faults = {kKillLeaf, kKillNode, kKillControl, kCutLeader, kFreezeLeader},
+       .what = "as fatal-query, while control machines crash and are cut off",
+       .faults = {kKillLeaf, kKillNode, kKillControl, kCutLeader, kPauseLeader},
        .fault_interval = Milliseconds(1800),
        .fatal_caller = true,
        .length = Seconds(16)},
       {.name = "crash-loop",
-       .what = "all leafs crash at once, again and again, for no fault of the requests that are "
-               "repeated meanwhile",
+       .what = "all leafs crash at once repeatedly, for reasons unrelated to the requests that are "
+               "retried meanwhile",
        .faults = {kKillAllLeafs},
        .fault_interval = Milliseconds(1100),
-       .impatient_caller = true,
+       .retrying_caller = true,
        .length = Seconds(10)},
       {.name = "told-outcomes",
-       .what = "nodes and leaders end just after outcomes of unrepeatable work were told",
+       .what = "nodes and leaders crash just after outcomes of non-repeatable work were reported",
        .faults = {kKillNode, kKillNode, kKillControl, kCutLeader},
        .fault_interval = Milliseconds(150),
        .repeating_caller = true},
       {.name = "storm",
-       .what = "all of it at once, and twice",
-       .faults = {kKillLeaf, kFreezeLeaf, kLeaveLeaf, kKillNode, kFreezeNode, kPlannedStopNode,
-                  kKillControl, kKillAllControls, kFreezeLeader, kCutLeader, kCutControlFromNodes,
+       .what = "most faults together, in quick succession",
+       .faults = {kKillLeaf, kPauseLeaf, kLeaveLeaf, kKillNode, kPauseNode, kPlannedStopNode,
+                  kKillControl, kKillAllControls, kPauseLeader, kCutLeader, kCutControlFromNodes,
                   kOneWayCut, kLoseDisk, kPlannedStopControl, kBadNetwork},
        .fault_interval = Milliseconds(300),
        .operators = {.races = true, .repartitions = true},
-       .nasty_leafs = true,
+       .faulty_leafs = true,
        .skewed_clocks = true,
        .length = Seconds(9)},
   };
@@ -217,7 +220,7 @@
 
 RunResult RunScenario(const Scenario& scenario, uint64_t seed, const DisabledMechanisms& disabled,
                       bool keep_trace) {
-  World world({seed, disabled, scenario.nasty_leafs, scenario.control_machines});
+  World world({seed, disabled, scenario.faulty_leafs, scenario.control_machines});
   if (keep_trace) {
     world.history.KeepFullTrace();
   }
@@ -225,9 +228,9 @@
     SkewClocks(&world);
   }
   world.Boot();
-  if (scenario.changes_first > 0) {
+  if (scenario.initial_changes > 0) {
     auto done = std::make_shared<bool>(false);
-    SubmitInTurn(&world, scenario.changes_first, done);
+    SubmitInTurn(&world, scenario.initial_changes, done);
     const Timestamp latest = world.clock.now() + Seconds(60);
     while (!*done && world.clock.RunNext(latest)) {
     }
@@ -242,9 +245,9 @@
   if (scenario.fatal_caller) {
     fatal_caller.Start(end);
   }
-  ImpatientCaller impatient_caller(&world);
-  if (scenario.impatient_caller) {
-    impatient_caller.Start(end);
+  RetryingCaller retrying_caller(&world);
+  if (scenario.retrying_caller) {
+    retrying_caller.Start(end);
   }
   RepeatingCaller repeating_caller(&world);
   if (scenario.repeating_caller) {
@@ -257,10 +260,10 @@
   world.RunUntil(end);
   world.HealEverything();
   world.RunUntil(end + kSettle);
-  // A fault whose undoing was still under way has healed by now.
+  // Heals again: the recovery of some faults was still scheduled at the first time.
   world.HealEverything();
   world.RunUntil(end + 2 * kSettle);
-  // A planned stop that had to wait for a quorum is over as well.
+  // Starts processes again whose planned stop had to wait for a quorum.
   world.HealEverything();
   world.RunUntil(end + 2 * kSettle + kRestart);
   FinalProbe probe(&world);
@@ -274,7 +277,7 @@
   world.history.CheckRuns(world.clock.now(), models);
   for (const auto& node : world.nodes) {
     if (!node->alive()) {
-      continue;  // The probe above has said so.
+      continue;  // Reported by the final probe.
     }
     world.history.CheckQuarantine(world.clock.now(), node->name(),
                                   node->server()->config().quarantine(),
--- a/src/sim/scenario.h
+++ b/src/sim/scenario.h
@@ -1,4 +1,4 @@
-// Named simulated runs: load, faults, healing, and a final check.
+// Named simulation scenarios: load, faults, healing, and final checks.
 #pragma once
 
 #include <cstdint>
@@ -19,18 +19,18 @@
   std::vector<Fault> faults = {};
   Duration fault_interval = Milliseconds(900);
   OperatorOptions operators = {};
-  bool nasty_leafs = false;
+  bool faulty_leafs = false;
   bool skewed_clocks = false;
   size_t control_machines = kFounders;
-  /// Changes submitted one after the other before the faults start.
-  int changes_first = 0;
-  /// Somebody asks again and again for what ends every leaf that runs it.
+  /// Number of changes submitted one after the other before the load and the faults start.
+  int initial_changes = 0;
+  /// Adds a FatalCaller.
   bool fatal_caller = false;
-  /// Somebody asks for each thing again and again until it is served.
-  bool impatient_caller = false;
-  /// Somebody asks again at once for unrepeatable work whose outcome was told.
+  /// Adds a RetryingCaller.
+  bool retrying_caller = false;
+  /// Adds a RepeatingCaller.
   bool repeating_caller = false;
-  /// Load and faults end here, counted from the end of the boot.
+  /// Duration of load and faults, from the end of the boot and of the initial changes.
   Duration length = Seconds(7);
 };
 const std::vector<Scenario>& AllScenarios();
--- a/src/sim/sim_file_system.h
+++ b/src/sim/sim_file_system.h
@@ -1,5 +1,5 @@
-// A disk that keeps only what was synced: a crash loses unsynced bytes, renames and new names, and
-// may leave part of an unsynced tail.
+// A simulated disk that guarantees only synced data: a crash loses unsynced bytes, renames and new
+// files, and may keep part of an unsynced tail.
 #pragma once
 
 #include <map>
@@ -24,11 +24,11 @@
   absl::Status SyncDirectory() override;
   std::vector<std::string> List() override;
 
-  /// The process or machine died: unsynced state is lost, save for a random part of each tail.
+  /// Simulates a crash: unsynced state is lost except for a random part of each unsynced tail.
   void Crash();
-  /// What a crash at this moment would leave, if every unsynced byte were lost.
+  /// Returns the state that a crash would leave now if every unsynced byte were lost.
   SimFileSystem DurableCopy() const;
-  /// The disk is gone and an empty one is in its place.
+  /// Replaces the disk by an empty one.
   void LoseEverything();
 
  private:
@@ -41,7 +41,7 @@
 
   std::mt19937_64 random_;
   Directory current_;
-  /// The directory as a crash would leave it.
+  /// The directory state that survives a crash.
   Directory durable_;
 };
 
--- a/src/sim/sim_network.cc
+++ b/src/sim/sim_network.cc
@@ -25,7 +25,7 @@
 void SimNetwork::DeliverLater(const std::string& from, const std::string& to,
                               std::function<void()> deliver) {
   clock_->After(DrawDelay(), [this, from, to, deliver = std::move(deliver)] {
-    // A cut also swallows what is on its way.
+    // A cut also drops messages in flight.
     if (!IsCut(from, to)) {
       deliver();
     }
--- a/src/sim/sim_network.h
+++ b/src/sim/sim_network.h
@@ -1,5 +1,5 @@
-// Delivers messages between hosts with seeded delay, loss, duplication and reordering, and cuts,
-// each direction on its own.
+// Delivers messages between hosts with seeded delay, loss, duplication and reordering. Links can be
+// cut in each direction separately.
 #pragma once
 
 #include <functional>
@@ -17,7 +17,7 @@
   Duration max_delay = Duration(2000);
   double loss = 0;
   double duplicate = 0;
-  /// Share of messages that take up to `slow_delay` longer; later ones overtake them.
+  /// Share of messages that take up to `slow_delay` longer, so that later ones may overtake them.
   double slow = 0;
   Duration slow_delay = Milliseconds(400);
 };
@@ -27,12 +27,12 @@
   SimNetwork(ClockQueue* clock, uint64_t seed) : clock_(clock), random_(seed) {}
 
   void SetOptions(const NetworkOptions& options) { options_ = options; }
-  /// Like Send(), but never delivers twice: an HTTP exchange on a connection is sent once.
+  /// Like Send(), but never duplicates: an HTTP exchange on a connection is sent once.
   void SendOnce(const std::string& from, const std::string& to, std::function<void()> deliver);
   /// `deliver` runs at the receiver after the delay, unless the message is lost or cut.
   void Send(const std::string& from, const std::string& to, std::function<void()> deliver);
 
-  /// Nothing from `from` reaches `to` any more; silently.
+  /// Silently drops all messages from `from` to `to`, those in flight included.
   void Cut(const std::string& from, const std::string& to) { cuts_.insert({from, to}); }
   void CutBoth(const std::string& a, const std::string& b);
   void HealAll() { cuts_.clear(); }
--- a/src/sim/sim_process.h
+++ b/src/sim/sim_process.h
@@ -1,4 +1,5 @@
-// A simulated process: can die, start, stand still for a while, and have a clock of another rate.
+// A simulated process that can start, die, pause and resume, and whose clock may run at another
+// rate.
 #pragma once
 
 #include <deque>
@@ -19,33 +20,33 @@
 
   const std::string& name() const { return name_; }
   bool alive() const { return alive_; }
-  bool frozen() const { return frozen_; }
-  /// The process's own clock.
+  bool paused() const { return paused_; }
+  /// Returns the time by the process's own clock.
   Timestamp LocalNow() const {
     const auto since = static_cast<double>(clock_->now().time_since_epoch().count());
     return Timestamp(Duration(static_cast<int64_t>(since * clock_rate_)));
   }
   void SetClockRate(double rate) { clock_rate_ = rate; }
 
-  /// Runs `work` now, after the thaw if the process stands still, or never if it is dead.
+  /// Runs `work` now, after Resume() if the process is paused, or never if it is dead.
   void Run(std::function<void()> work) {
     if (!alive_) {
       return;
     }
-    if (frozen_) {
+    if (paused_) {
       backlog_.push_back(std::move(work));
       return;
     }
     work();
   }
 
-  /// Runs `work` after a delay in this life of the process.
+  /// Runs `work` after a delay unless the process has died or restarted meanwhile.
   void RunAfter(Duration delay, std::function<void()> work) {
-    clock_->After(delay, [this, life = life_, work = std::move(work)]() mutable {
-      if (life != life_) {
+    clock_->After(delay, [this, epoch = epoch_, work = std::move(work)]() mutable {
+      if (epoch != epoch_) {
         return;
       }
-      if (frozen_) {
+      if (paused_) {
         overdue_.push_back(std::move(work));
       } else {
         work();
@@ -53,16 +54,16 @@
     });
   }
 
-  void Freeze() { frozen_ = alive_; }
-  /// As in the event loop, what arrived comes before timers that ran out.
-  void Thaw() {
-    frozen_ = false;
+  void Pause() { paused_ = alive_; }
+  /// Resumes the process. As in the event loop, received work runs before expired timers.
+  void Resume() {
+    paused_ = false;
     std::deque<std::function<void()>> due = std::exchange(backlog_, {});
     const std::deque<std::function<void()>> overdue = std::exchange(overdue_, {});
     due.insert(due.end(), overdue.begin(), overdue.end());
-    const uint64_t life = life_;
+    const uint64_t epoch = epoch_;
     for (const auto& work : due) {
-      if (life == life_) {
+      if (epoch == epoch_) {
         work();
       }
     }
@@ -70,16 +71,16 @@
 
  protected:
   void MarkStarted() {
-    ++life_;
+    ++epoch_;
     alive_ = true;
-    frozen_ = false;
+    paused_ = false;
     backlog_.clear();
     overdue_.clear();
   }
   void MarkDead() {
-    ++life_;
+    ++epoch_;
     alive_ = false;
-    frozen_ = false;
+    paused_ = false;
     backlog_.clear();
     overdue_.clear();
   }
@@ -89,8 +90,8 @@
  private:
   std::string name_;
   bool alive_ = false;
-  bool frozen_ = false;
-  uint64_t life_ = 0;
+  bool paused_ = false;
+  uint64_t epoch_ = 0;
   double clock_rate_ = 1.0;
   std::deque<std::function<void()>> backlog_;
   std::deque<std::function<void()>> overdue_;
--- a/src/sim/world.cc
+++ b/src/sim/world.cc
@@ -15,10 +15,10 @@
 constexpr uint64_t kJobShards = 2;
 constexpr uint32_t kSlots = 3;
 constexpr size_t kResultsPerShard = 1;
-constexpr Duration kRefusedConnection = Milliseconds(1);
-constexpr Duration kLateReply = Milliseconds(500);
+constexpr Duration kConnectionRefusedDelay = Milliseconds(1);
+constexpr Duration kReplyGrace = Milliseconds(500);
 constexpr Duration kPollInterval = Seconds(1);
-/// Leafs that lie about draining tell their state of this long ago.
+/// Delay of the platform's list of leaving leafs.
 constexpr Duration kPlatformLag = Milliseconds(700);
 
 query::LeafReply FailedReply(const query::LeafRequest& request, query::LeafStatus status) {
@@ -34,7 +34,7 @@
 }  // namespace
 
 RequestIdentity IdentityOf(const query::CallerRequest& request) {
-  const std::string asked = request.query.substr(0, request.query.find(kAttemptMark));
+  const std::string asked = request.query.substr(0, request.query.find(kAttemptMarker));
   return pumicedyke::IdentityOf({request.service, asked, request.request_class});
 }
 
@@ -70,9 +70,9 @@
       ToSession(name, session, envelope);
     };
     callbacks.close_session = [this, name, i](control::SessionId session) {
-      NodeHost* node = nodes[session % kSessionsPerLife].get();
+      NodeHost* node = nodes[session % kSessionsPerIncarnation].get();
       network.Send(name, node->name(), [node, session, i] {
-        if (node->incarnation() == session / kSessionsPerLife) {
+        if (node->incarnation() == session / kSessionsPerIncarnation) {
           node->ControlClosed(i);
         }
       });
@@ -135,9 +135,9 @@
       options.name = name;
       options.slots = kSlots;
       options.median_ms = 3;
-      options.straggler_share = options_.nasty_leafs ? 0.08 : 0.01;
-      options.ignores_snapshot = options_.nasty_leafs ? 0.02 : 0;
-      options.pause = options_.nasty_leafs ? Milliseconds(300) : Duration(0);
+      options.straggler_share = options_.faulty_leafs ? 0.08 : 0.01;
+      options.ignores_snapshot = options_.faulty_leafs ? 0.02 : 0;
+      options.pause = options_.faulty_leafs ? Milliseconds(300) : Duration(0);
       options.pause_every = Seconds(3);
       options.pause_offset = Milliseconds(Between(0, 3000));
       options.results_per_shard = kResultsPerShard;
@@ -155,7 +155,7 @@
   const uint64_t shards = service == kReadService ? kReadLeafs : kJobShards;
   std::vector<config::Shard> map;
   for (uint64_t shard = 0; shard < shards; ++shard) {
-    // Each snapshot turns the map on by one leaf.
+    // Each snapshot shifts the map by one leaf.
     const std::string& first = names[(shard + snapshot) % names.size()];
     const std::string& second = names[(shard + snapshot + 1) % names.size()];
     map.push_back({ShardId{shard + 1}, {first, second}});
@@ -202,7 +202,7 @@
   return change;
 }
 
-void World::SubmitPatiently(const config::Change& change, const std::function<void()>& done) {
+void World::SubmitUntilAccepted(const config::Change& change, const std::function<void()>& done) {
   auto finished = std::make_shared<bool>(false);
   for (size_t i = 0; i < controls.size(); ++i) {
     Submit("operator-patient", i, change, [=](const config::ChangeResult& result) {
@@ -218,7 +218,7 @@
   }
   clock.After(Milliseconds(700), [=, this] {
     if (!*finished) {
-      SubmitPatiently(change, done);
+      SubmitUntilAccepted(change, done);
     }
   });
 }
@@ -258,7 +258,7 @@
     }
     const config::Change change = remaining->front();
     remaining->erase(remaining->begin());
-    SubmitPatiently(change, *next);
+    SubmitUntilAccepted(change, *next);
   };
   (*next)();
   const Timestamp latest = clock.now() + Seconds(20);
@@ -306,7 +306,7 @@
   LeafHost* leaf = leafs.at(request.leaf).get();
   network.SendOnce(node->name(), request.leaf, [this, node, leaf, request, key] {
     if (!leaf->alive()) {
-      clock.After(kRefusedConnection, [this, node, request, key] {
+      clock.After(kConnectionRefusedDelay, [this, node, request, key] {
         pending_.erase(key);
         node->Reply(FailedReply(request, query::LeafStatus::kNotSent));
       });
@@ -314,20 +314,20 @@
     }
     history.OnLeafReceived(clock.now(), request.leaf);
     if (request.query.starts_with(kFatalQuery)) {
-      EndLeaf(request);
+      CrashLeaf(request);
     } else {
       leaf->Submit(request);
     }
   });
-  // A connection on which nothing comes back is given up.
-  clock.After(request.budget + kLateReply, [this, node, request, key] {
+  // A sub-request without a reply fails after its budget and a grace period.
+  clock.After(request.budget + kReplyGrace, [this, node, request, key] {
     if (pending_.erase(key) > 0) {
       node->Reply(FailedReply(request, query::LeafStatus::kFailed));
     }
   });
 }
 
-void World::EndLeaf(const query::LeafRequest& request) {
+void World::CrashLeaf(const query::LeafRequest& request) {
   history.OnFatalRun(clock.now(), request);
   KillLeaf(request.leaf);
   clock.After(Milliseconds(Between(500, 2500)), [this, leaf = request.leaf] { StartLeaf(leaf); });
@@ -352,7 +352,7 @@
     if (pending.request.leaf != leaf) {
       return false;
     }
-    clock.After(kRefusedConnection, [node = pending.node, request = pending.request] {
+    clock.After(kConnectionRefusedDelay, [node = pending.node, request = pending.request] {
       query::LeafReply reply = FailedReply(request, query::LeafStatus::kFailed);
       reply.connection_lost = true;
       node->Reply(reply);
@@ -365,7 +365,7 @@
   for (const auto& [name, leaf] : leafs) {
     network.Send(node->name(), name, [this, node, leaf = leaf.get()] {
       leaf->AskHealth([this, node, leaf](bool draining) {
-        // One report in five is two seconds old when it arrives.
+        // One report in five is delayed by two seconds.
         const Duration lag = Uniform() < 0.2 ? Seconds(2) : Duration(0);
         clock.After(lag, [this, node, leaf, draining] {
           network.Send(leaf->name(), node->name(),
@@ -379,7 +379,7 @@
 void World::PollPlatformFor(NodeHost* node) {
   std::set<std::string> listed;
   for (const auto& [leaf, how] : leaving_) {
-    if (how == LeaveBy::kPlatform) {
+    if (how == LeaveMethod::kPlatform) {
       listed.insert(leaf);
     }
   }
@@ -394,16 +394,16 @@
   clock.After(kPollInterval, [this] { PollLoop(); });
 }
 
-void World::MakeLeafLeave(const std::string& name, LeaveBy how) {
+void World::MakeLeafLeave(const std::string& name, LeaveMethod how) {
   if (leaving_.contains(name)) {
     return;
   }
   leaving_[name] = how;
   history.Trace(clock.now(), absl::StrCat("leaf leaves ", name, " by ", static_cast<int>(how)));
-  if (how == LeaveBy::kOwnWord) {
+  if (how == LeaveMethod::kHealthReport) {
     leafs.at(name)->model()->SetDraining(true);
     history.OnLeafLeaving(name, clock.now());
-  } else if (how == LeaveBy::kPlatform) {
+  } else if (how == LeaveMethod::kPlatform) {
     history.OnLeafLeaving(name, clock.now());
   } else {
     config::Change change;
@@ -411,7 +411,7 @@
     change.leaf = name;
     change.submission_id =
         absl::StrCat("leave-", name, "-", clock.now().time_since_epoch().count());
-    SubmitPatiently(change, [this, name] {
+    SubmitUntilAccepted(change, [this, name] {
       if (leaving_.contains(name)) {
         history.OnLeafLeaving(name, clock.now());
       }
@@ -419,21 +419,21 @@
   }
 }
 
-void World::LeafStays(const std::string& name) {
+void World::CancelLeafLeaving(const std::string& name) {
   const auto it = leaving_.find(name);
   if (it == leaving_.end()) {
     return;
   }
-  if (it->second == LeaveBy::kConfig) {
+  if (it->second == LeaveMethod::kConfig) {
     config::Change change;
     change.kind = config::ChangeKind::kClearLeaving;
     change.leaf = name;
     change.submission_id = absl::StrCat("stay-", name, "-", clock.now().time_since_epoch().count());
-    SubmitPatiently(change, [] {});
+    SubmitUntilAccepted(change, [] {});
   }
   leafs.at(name)->model()->SetDraining(false);
   leaving_.erase(it);
-  history.OnLeafBack(name);
+  history.OnLeafLeavingCancelled(name);
 }
 
 void World::Repartition(const std::string& service) {
@@ -456,7 +456,7 @@
       leaf->model()->Drop(service, SnapshotId{snapshot - 1});
     });
   }
-  clock.After(Milliseconds(300), [this, change] { SubmitPatiently(change, [] {}); });
+  clock.After(Milliseconds(300), [this, change] { SubmitUntilAccepted(change, [] {}); });
 }
 
 void World::KillLeaf(const std::string& name) {
@@ -471,7 +471,7 @@
   if (!leafs.at(name)->alive()) {
     history.Trace(clock.now(), "start " + name);
     leafs.at(name)->Start();
-    if (leaving_.contains(name) && leaving_.at(name) == LeaveBy::kOwnWord) {
+    if (leaving_.contains(name) && leaving_.at(name) == LeaveMethod::kHealthReport) {
       leafs.at(name)->model()->SetDraining(true);
     }
   }
--- a/src/sim/world.h
+++ b/src/sim/world.h
@@ -1,5 +1,6 @@
 // A simulated cluster: three control machines or more, two nodes, leafs, the platform's list and
-// the network between them. Actors and the nemesis act on it; History records what shows outside.
+// the network between them. Actors and the nemesis act on it; History records its externally
+// visible events.
 #pragma once
 
 #include <functional>
@@ -20,33 +21,36 @@
 
 namespace pumicedyke::sim {
 
-/// A service of repeatable reads, and one of work that must not run twice.
+/// A service of repeatable reads, and one of jobs that must run at most once.
 inline constexpr char kReadService[] = "desk";
 inline constexpr char kJobService[] = "reprint";
 
 inline constexpr size_t kFounders = 3;
-/// A query that begins so ends every leaf that begins to run it.
+/// A query with this prefix crashes every leaf that starts to run it.
 inline constexpr char kFatalQuery[] = "fatal";
 
 struct WorldOptions {
   uint64_t seed = 1;
   DisabledMechanisms disabled;
-  /// Leafs straggle, pause, shed and sometimes answer on another snapshot than they were asked for.
-  bool nasty_leafs = false;
-  /// Control machines; only `kFounders` of them found the cluster and are known to the others.
+  /// Leafs straggle and pause often, and sometimes answer on another snapshot than requested.
+  bool faulty_leafs = false;
+  /// Number of control machines; only the first `kFounders` found the cluster and are configured as
+  /// seeds on the others.
   size_t control_machines = kFounders;
 };
 
-/// What follows it in a query tells two attempts apart, for the checkers; the request is the same.
-inline constexpr char kAttemptMark = '#';
-/// What names a request in the simulator: a caller has no name of its own there.
+/// Separates a query from an attempt number, by which the checks tell attempts apart. The attempt
+/// number is not part of the request's identity.
+inline constexpr char kAttemptMarker = '#';
+/// Returns the identity of a request without its attempt number; the caller is not part of it.
 RequestIdentity IdentityOf(const query::CallerRequest& request);
 
 class World {
  public:
   explicit World(const WorldOptions& options);
 
-  /// Starts every process and creates the services; returns once they are in force.
+  /// Starts every process and creates the services; returns once the changes were accepted and the
+  /// nodes had time to apply them.
   void Boot();
   void RunUntil(Timestamp end);
 
@@ -60,10 +64,10 @@
 
   // For callers.
   using AnswerCb = std::function<void(const query::Answer&)>;
-  /// Sends a caller's request to a node. @return false if the node does not accept connections.
+  /// Sends a caller's request to a node. @return false if the node is down.
   bool Ask(size_t node, const query::CallerRequest& request, AnswerCb on_answer);
 
-  // For operators. The callback comes at most once; nothing comes if a message is lost.
+  // For operators. The callback runs once for each result that arrives, never if a message is lost.
   using ResultCb = std::function<void(const config::ChangeResult&)>;
   void Submit(const std::string& from, size_t control, const config::Change& change,
               ResultCb on_result);
@@ -80,10 +84,10 @@
   void PlannedStopNode(size_t index);
   void KillLeaf(const std::string& name);
   void StartLeaf(const std::string& name);
-  enum class LeaveBy { kConfig, kPlatform, kOwnWord };
-  void MakeLeafLeave(const std::string& name, LeaveBy how);
-  void LeafStays(const std::string& name);
-  /// Publishes the next snapshot with another partition map; leafs load it early or late.
+  enum class LeaveMethod { kConfig, kPlatform, kHealthReport };
+  void MakeLeafLeave(const std::string& name, LeaveMethod how);
+  void CancelLeafLeaving(const std::string& name);
+  /// Publishes the next snapshot with another partition map; leafs load it before or after that.
   void Repartition(const std::string& service);
   std::optional<size_t> LeaderIndex() const;
   void HealEverything();
@@ -95,14 +99,14 @@
   }
   bool disabled(std::string_view mechanism) const { return options_.disabled.contains(mechanism); }
 
-  /// Submits until accepted, as a patient operator; for the boot and the final probe.
-  void SubmitPatiently(const config::Change& change, const std::function<void()>& done);
+  /// Resubmits until a definite result arrives, and runs `done` if the change was accepted.
+  void SubmitUntilAccepted(const config::Change& change, const std::function<void()>& done);
   config::Change MakePolicyChange(const std::string& service, const std::string& submission);
   config::Change MakeSnapshotChange(const std::string& service, const std::string& submission);
 
  private:
-  /// Session numbers: a node's life times this, plus the node's index.
-  static constexpr uint64_t kSessionsPerLife = 10;
+  /// A session number is the node's incarnation times this, plus the node's index.
+  static constexpr uint64_t kSessionsPerIncarnation = 10;
 
   void MakeControls();
   void MakeNodes();
@@ -112,14 +116,14 @@
   void HoldEverywhere(const std::string& service, uint64_t snapshot);
 
   void ToLeaf(NodeHost* node, const query::LeafRequest& request);
-  /// The leaf ends on account of a request, and comes back.
-  void EndLeaf(const query::LeafRequest& request);
+  /// Crashes the leaf that a fatal request has reached, and restarts it later.
+  void CrashLeaf(const query::LeafRequest& request);
   void ReplyToNode(const query::LeafReply& reply);
   void FailPending(const std::string& leaf);
   void ToControl(NodeHost* node, size_t control, const wire::Envelope& envelope);
   void ToSession(const std::string& control, control::SessionId session,
                  const wire::Envelope& envelope);
-  /// What a node asks of leafs and of the platform when it starts, and every second.
+  // Polls of leafs and of the platform, at a node's start and every second.
   void PollLeafsFor(NodeHost* node);
   void PollPlatformFor(NodeHost* node);
   void PollLoop();
@@ -128,7 +132,7 @@
   void OnRedundancyReported(const std::string& control);
 
   WorldOptions options_;
-  /// Sub-requests out at leafs: who asked for what.
+  /// A sub-request that is in progress at a leaf, and the node that sent it.
   struct Pending {
     NodeHost* node;
     query::LeafRequest request;
@@ -139,13 +143,13 @@
   uint64_t next_call_ = 1;
   std::map<control::TicketId, std::function<void(const std::string&)>> operators_;
   control::TicketId next_ticket_ = 1;
-  std::map<std::string, LeaveBy> leaving_;
+  std::map<std::string, LeaveMethod> leaving_;
   std::map<std::string, uint64_t> newest_snapshot_;
   uint64_t policy_markers_ = 0;
   uint64_t losses_ = 0;
 
  public:
-  /// Set while a lost disk has not been reported as replaced.
+  /// Set from the loss of a disk until full redundancy is reported again.
   bool repair_pending = false;
   uint64_t repairs = 0;
 };
--- a/src/sim/world_control.cc
+++ b/src/sim/world_control.cc
@@ -1,4 +1,4 @@
-// The part of World between nodes, operators and control machines, and the faults of processes.
+// The part of World that connects nodes, operators and control machines, and the process faults.
 #include <algorithm>
 #include <utility>
 
@@ -15,18 +15,18 @@
 
 void World::ToControl(NodeHost* node, size_t control, const wire::Envelope& envelope) {
   ControlHost* host = controls[control].get();
-  // One session for each life of a node at each machine.
+  // One session for each incarnation of a node at each machine.
   const auto node_index = static_cast<uint64_t>(node->name().back() - '0');
-  const control::SessionId session = node->incarnation() * kSessionsPerLife + node_index;
+  const control::SessionId session = node->incarnation() * kSessionsPerIncarnation + node_index;
   network.Send(node->name(), host->name(),
                [host, session, envelope] { host->ReceiveFromNode(session, envelope); });
 }
 
 void World::ToSession(const std::string& control, control::SessionId session,
                       const wire::Envelope& envelope) {
-  NodeHost* node = nodes[session % kSessionsPerLife].get();
+  NodeHost* node = nodes[session % kSessionsPerIncarnation].get();
   network.Send(control, node->name(), [node, session, envelope] {
-    if (node->incarnation() == session / kSessionsPerLife) {
+    if (node->incarnation() == session / kSessionsPerIncarnation) {
       node->ReceiveFromControl(envelope);
     }
   });
@@ -101,7 +101,7 @@
 
 void World::PlannedStopControl(size_t index) {
   ControlHost* host = controls[index].get();
-  if (!host->alive() || host->frozen()) {
+  if (!host->alive() || host->paused()) {
     return;
   }
   history.Trace(clock.now(), "planned stop of " + host->name());
@@ -117,7 +117,7 @@
 void World::KillNode(size_t index) {
   if (nodes[index]->alive()) {
     history.Trace(clock.now(), "kill " + nodes[index]->name());
-    history.ExcuseCallsAt(nodes[index]->name());
+    history.ExpectNoAnswersFrom(nodes[index]->name());
     nodes[index]->Kill();
   }
 }
@@ -134,7 +134,7 @@
 
 void World::PlannedStopNode(size_t index) {
   NodeHost* node = nodes[index].get();
-  if (!node->alive() || node->frozen() || node->stopping()) {
+  if (!node->alive() || node->paused() || node->stopping()) {
     return;
   }
   history.Trace(clock.now(), "planned stop of " + node->name());
@@ -193,15 +193,15 @@
   network.HealAll();
   network.SetOptions({});
   for (size_t i = 0; i < controls.size(); ++i) {
-    controls[i]->Thaw();
+    controls[i]->Resume();
     StartControl(i);
   }
   for (const auto& [name, leaf] : leafs) {
-    leaf->Thaw();
+    leaf->Resume();
     StartLeaf(name);
   }
   for (size_t i = 0; i < nodes.size(); ++i) {
-    nodes[i]->Thaw();
+    nodes[i]->Resume();
     StartNode(i);
   }
 }
--- a/test/sim/simulation_test.cc
+++ b/test/sim/simulation_test.cc
@@ -1,4 +1,5 @@
-// The simulator itself: same seed same trace, and every mechanism is missed when it is off.
+// Tests of the simulator: equal seeds give equal traces, every scenario holds its invariants, and a
+// disabled mechanism breaks the invariant that it guards.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <iostream>
@@ -13,7 +14,7 @@
   CPPUNIT_TEST_SUITE(SimulationTest);
   CPPUNIT_TEST(SameSeedSameTrace);
   CPPUNIT_TEST(EveryScenarioHolds);
-  CPPUNIT_TEST(EveryMechanismIsMissed);
+  CPPUNIT_TEST(EveryDisabledMechanismIsDetected);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -29,7 +30,7 @@
     }
   }
 
-  /// A few seeds; tools/test runs a thousand.
+  /// Runs a few seeds; tools/test runs a thousand.
   void EveryScenarioHolds() {
     for (const Scenario& scenario : AllScenarios()) {
       for (uint64_t seed = 5001; seed <= 5003; ++seed) {
@@ -43,10 +44,10 @@
     }
   }
 
-  void EveryMechanismIsMissed() {
+  void EveryDisabledMechanismIsDetected() {
     for (const Mechanism& mechanism : AllMechanisms()) {
       const Scenario& scenario = *FindScenario(mechanism.scenario);
-      const uint64_t seed = FirstSeedThatMisses(mechanism, scenario);
+      const uint64_t seed = FirstSeedThatDetects(mechanism, scenario);
       std::cout << "    without " << mechanism.name << ": " << InvariantName(mechanism.guards)
                 << " breaks in " << scenario.name << " with seed " << seed << std::endl;
       CPPUNIT_ASSERT_MESSAGE(std::string(mechanism.name), seed > 0);
@@ -54,11 +55,11 @@
   }
 
  private:
-  static constexpr uint64_t kMostSeeds = 200;
+  static constexpr uint64_t kMaxSeeds = 200;
 
-  /// @return 0 if no seed does.
-  static uint64_t FirstSeedThatMisses(const Mechanism& mechanism, const Scenario& scenario) {
-    for (uint64_t seed = 1; seed <= kMostSeeds; ++seed) {
+  /// @return 0 if no seed violates the mechanism's invariant.
+  static uint64_t FirstSeedThatDetects(const Mechanism& mechanism, const Scenario& scenario) {
+    for (uint64_t seed = 1; seed <= kMaxSeeds; ++seed) {
       const RunResult result =
           RunScenario(scenario, seed, {std::string(mechanism.name)}, /*keep_trace=*/false);
       for (const Violation& violation : result.violations) {
