--- a/src/bench/bench_scenario.cc
+++ b/src/bench/bench_scenario.cc
@@ -36,8 +36,8 @@
 
 Duration BenchScenario::MeanServiceTime() const {
   const double body = model.median_ms * std::exp(model.sigma * model.sigma / 2);
-  const double straggle = (model.straggler_min + model.straggler_max) / 2;
-  const double factor = 1 - model.straggler_share + model.straggler_share * straggle;
+  const double mean_straggler_factor = (model.straggler_min + model.straggler_max) / 2;
+  const double factor = 1 - model.straggler_share + model.straggler_share * mean_straggler_factor;
   return FromMilliseconds(body * factor);
 }
 
@@ -79,7 +79,7 @@
   }
   if (absl::Status status = policy::PolicyProgram::Check(scenario.policy);
       scenario.policy.empty() || !status.ok()) {
-    file.AddError("policy", absl::StrCat("must name a policy program that is accepted: ",
+    file.AddError("policy", absl::StrCat("must name a valid policy program: ",
                                          std::string(status.message())));
   }
   if (absl::Status status = file.Finish(); !status.ok()) {
--- a/src/bench/bench_scenario.h
+++ b/src/bench/bench_scenario.h
@@ -1,4 +1,4 @@
-// A benchmark scenario: the back ends of one site, their model, the network and the policy.
+// A benchmark scenario: the back ends of a site, their model, the network and the policy.
 #pragma once
 
 #include <string>
@@ -12,7 +12,7 @@
 
 struct BenchScenario {
   std::string name;
-  /// How the site's sizes are read; see the comment of each file.
+  /// How the site's description was interpreted as sizes; see the comment in each scenario file.
   std::string reading;
   size_t shards = 1;
   size_t leafs = 1;
@@ -20,15 +20,16 @@
   size_t replicas = 1;
   size_t stride = 1;
   uint32_t slots = 1;
-  /// Nodes that each hold their own connections to the leafs and cannot see each other.
+  /// Number of nodes. Each has its own connections to the leafs and does not know the other nodes.
   size_t nodes = 1;
-  /// One way.
+  /// One-way network latencies: caller to node, and node to leaf.
   Duration client_delay{};
   Duration leaf_delay{};
+  /// Time to open a connection to a leaf.
   Duration connection_cost{};
-  /// Of every leaf; the seed and the name differ.
+  /// Model of every leaf; name, seed and slots are set for each leaf.
   emulator::LeafModelOptions model;
-  /// The leaf that pauses.
+  /// Index of the only leaf that pauses.
   size_t pausing_leaf = 0;
   /// Path of the policy program, relative to the scenario file.
   std::string policy_file;
@@ -37,13 +38,13 @@
 
   std::string LeafName(size_t leaf) const;
   std::vector<config::Shard> PartitionMap() const;
-  /// Average service time of a sub-request, stragglers included, pauses not.
+  /// Returns the mean service time of a sub-request, with stragglers but without pauses.
   Duration MeanServiceTime() const;
-  /// Queries a second that use every slot, without any extra sub-request.
+  /// Returns the queries per second that occupy all slots, without extra sub-requests.
   double CapacityQueries() const;
 };
 
-/// @return kInvalidConfig with every error of the file.
+/// Reads a scenario file. @return kInvalidConfig with all errors of the file if it is invalid.
 absl::StatusOr<BenchScenario> ReadScenario(const std::string& path);
 
 }  // namespace pumicedyke::bench
--- a/src/bench/leaf_changes.cc
+++ b/src/bench/leaf_changes.cc
@@ -20,7 +20,7 @@
   return std::chrono::duration<double, std::micro>(elapsed).count();
 }
 
-wire::LeafRecord LeafAt(size_t i) {
+wire::LeafRecord MakeLeafRecord(size_t i) {
   const std::string service = "shard-" + std::to_string(i / kLeafsPerService);
   const std::string zone = "zone-" + std::to_string(i % 3);
   return {"leaf-" + std::to_string(i), service, "10.0.0.1:" + std::to_string(i), zone, 3, false, 0};
@@ -36,7 +36,7 @@
   wire::LeafFeed all;
   all.version = 1;
   for (size_t i = 0; i < leafs; ++i) {
-    all.records.push_back(LeafAt(i));
+    all.records.push_back(MakeLeafRecord(i));
     if (i % kLeafsPerService == 0) {
       set.services.push_back({all.records.back().service, kConnections, "", Seconds(2), 0});
     }
@@ -52,7 +52,7 @@
   begin = std::chrono::steady_clock::now();
   for (size_t i = 0; i < kChanges; ++i) {
     now += Milliseconds(1);
-    wire::LeafRecord record = LeafAt(i * leafs / kChanges);
+    wire::LeafRecord record = MakeLeafRecord(i * leafs / kChanges);
     record.draining = true;
     view.OnFeed(now, "control", {i + 1, i + 2, {record}, {}, {}, 1});
     sync(kGateways);
--- a/src/bench/leaf_changes.h
+++ b/src/bench/leaf_changes.h
@@ -1,4 +1,5 @@
-// What one change of one leaf costs a gateway, by how many leafs it knows. Real time, no network.
+// Measures what a change of a single leaf costs a gateway, by number of known leafs. Wall-clock
+// time without a network.
 #pragma once
 
 #include <cstddef>
@@ -9,11 +10,11 @@
 
 struct LeafChangeCost {
   size_t leafs = 0;
-  /// Taking over all leafs in one message, as a gateway that starts does.
+  /// Time to apply all leafs from one message, as a starting gateway does.
   double fill_milliseconds = 0;
-  /// One leaf that begins to leave, changes taking effect one by one.
+  /// Time to apply one leaf's change to draining, when changes are applied one by one.
   double change_microseconds = 0;
-  /// One more gateway that shares the leafs.
+  /// Time to apply one more gateway that shares the leafs.
   double gateway_microseconds = 0;
 };
 
--- a/src/bench/limit_lending.cc
+++ b/src/bench/limit_lending.cc
@@ -19,10 +19,10 @@
 constexpr size_t kTenants = 86;
 constexpr double kRequestsPerGateway = 0.55;
 constexpr double kHeadroom = 1.6;
-constexpr double kOver = 8;
+constexpr double kOverloadFactor = 8;
 constexpr Duration kWarm = Seconds(14);
-constexpr int kSeconds = 40;
-constexpr size_t kMostPlayed = 985;
+constexpr int kMeasuredSeconds = 40;
+constexpr size_t kMaxSimulatedGateways = 985;
 constexpr double kPacketHeaders = 52;
 constexpr uint64_t kSeed = 17;
 
@@ -45,7 +45,7 @@
   return demands;
 }
 
-/// The mean of a question and its answer on the wire.
+/// Returns the mean size on the wire of a limit request and its reply.
 double BytesPerMessage() {
   const uint64_t id = uint64_t{1} << 40;
   const wire::LimitAsk ask{id, "tenant-11", 3, 1, false, 0, 0};
@@ -56,7 +56,8 @@
   return static_cast<double>(bytes) / 2 + kPacketHeaders;
 }
 
-/// A borrower and a keeper hand each other their messages.
+/// Measures grants per second of wall-clock time between one borrower and one lender that exchange
+/// messages directly.
 double GrantsPerSecond(size_t gateways) {
   constexpr int kGrants = 50000;
   const limits::LimitOptions options{{Seconds(5), 0.1, 20}, {}, {}};
@@ -76,28 +77,28 @@
   placement.SetAccounts({{asked.name, 0}});
   placement.SetGateways(list);
   const std::string first = placement.Find({asked.name, 0}).first->node;
-  limits::TenantLimits keeper(options, first, 1);
+  limits::TenantLimits lender(options, first, 1);
   limits::TenantLimits borrower(options, first == "g0" ? "g1" : "g0", 1);
   Timestamp now{Seconds(1000)};
-  for (limits::TenantLimits* one : {&keeper, &borrower}) {
-    one->SetTenants(now, tenants);
-    one->SetGateways(now, list);
+  for (limits::TenantLimits* limits_of_node : {&lender, &borrower}) {
+    limits_of_node->SetTenants(now, tenants);
+    limits_of_node->SetGateways(now, list);
   }
   uint64_t lent = 0;
   for (int i = 0; i < 60000; ++i) {
     now += Milliseconds(500);
-    keeper.Tick(now, now);
-    keeper.TakeOutput();
+    lender.Tick(now, now);
+    lender.TakeOutput();
   }
   const auto begin = std::chrono::steady_clock::now();
   for (uint64_t i = 1; i <= kGrants; ++i) {
     now += Microseconds(10);
     borrower.Admit(now, RequestId{i}, asked, now);
-    for (const limits::LimitQuestion& question : borrower.TakeOutput().questions) {
-      keeper.OnAsk(now, 1, question.ask, now);
-      for (const limits::LimitWord& word : keeper.TakeOutput().words) {
-        borrower.OnGrant(now, first, word.grant);
-        lent += word.grant.granted;
+    for (const limits::LimitQuestion& request : borrower.TakeOutput().questions) {
+      lender.OnAsk(now, 1, request.ask, now);
+      for (const limits::LimitWord& reply : lender.TakeOutput().words) {
+        borrower.OnGrant(now, first, reply.grant);
+        lent += reply.grant.granted;
       }
     }
   }
@@ -107,18 +108,18 @@
 }
 
 LimitCost MeasureLending(size_t gateways) {
-  LimitCost cost{.way = "lending", .gateways = gateways};
-  cost.played = std::min(gateways, kMostPlayed);
+  LimitCost cost{.method = "lending", .gateways = gateways};
+  cost.simulated_gateways = std::min(gateways, kMaxSimulatedGateways);
   cost.grants_per_second = GrantsPerSecond(gateways);
-  limits::SimulatedFleet fleet({.gateways = cost.played, .seed = kSeed});
-  fleet.SetDemand(Demands(cost.played, 0));
+  limits::SimulatedFleet fleet({.gateways = cost.simulated_gateways, .seed = kSeed});
+  fleet.SetDemand(Demands(cost.simulated_gateways, 0));
   fleet.Run(kWarm);
-  const std::vector<Demand> within = Demands(cost.played, 1 / kHeadroom);
-  fleet.SetDemand(within);
+  const std::vector<Demand> below_limit = Demands(cost.simulated_gateways, 1 / kHeadroom);
+  fleet.SetDemand(below_limit);
   const uint64_t before = fleet.messages();
-  fleet.Run(Seconds(kSeconds));
+  fleet.Run(Seconds(kMeasuredSeconds));
   cost.bytes_per_node_second = static_cast<double>(fleet.messages() - before) * BytesPerMessage() /
-                               kSeconds / static_cast<double>(cost.played);
+                               kMeasuredSeconds / static_cast<double>(cost.simulated_gateways);
   uint64_t refused = 0;
   uint64_t asked = 0;
   for (size_t i = 0; i < kTenants; ++i) {
@@ -126,47 +127,49 @@
     asked += fleet.count(i).asked;
   }
   cost.refused_below = 1000.0 * static_cast<double>(refused) / static_cast<double>(asked);
-  const std::vector<Demand> over = Demands(cost.played, kOver);
-  fleet.SetDemand(over);
-  fleet.Run(Seconds(kSeconds));
+  const std::vector<Demand> over_limit = Demands(cost.simulated_gateways, kOverloadFactor);
+  fleet.SetDemand(over_limit);
+  fleet.Run(Seconds(kMeasuredSeconds));
   double granted = 0;
-  double given = 0;
+  double limit_total = 0;
   for (size_t i = 0; i < kTenants; ++i) {
-    const tenants::Tenant& tenant = over[i].tenant;
+    const tenants::Tenant& tenant = over_limit[i].tenant;
     granted += static_cast<double>(fleet.count(i).granted);
-    given += tenant.requests_per_second * kSeconds;
-    cost.fullest = std::max(cost.fullest, fleet.Fullness(i, tenant.requests_per_second,
-                                                         tenant.burst, {}, Timestamp::max()));
+    limit_total += tenant.requests_per_second * kMeasuredSeconds;
+    cost.max_window_use =
+        std::max(cost.max_window_use,
+                 fleet.Fullness(i, tenant.requests_per_second, tenant.burst, {}, Timestamp::max()));
   }
-  cost.used_when_over = granted / given;
+  cost.granted_over_limit = granted / limit_total;
   return cost;
 }
 
-/// A simpler way: one tenant's counts, by gateway.
-class SimpleWay {
+/// A simpler method: a token bucket for one tenant at each gateway, either a fixed split of the
+/// limit or the full limit with periodic reports to a shared bucket.
+class BaselineLimiter {
  public:
-  SimpleWay(bool reports, size_t gateways, const tenants::Tenant& tenant, Timestamp now)
+  BaselineLimiter(bool reports, size_t gateways, const tenants::Tenant& tenant, Timestamp now)
       : reports_(reports), rate_(tenant.requests_per_second) {
-    const double part = 1.0 / static_cast<double>(gateways);
-    const double cap = reports_ ? tenant.burst : std::max(1.0, tenant.burst * part);
-    parts_.assign(gateways, {rate_ * (reports_ ? 1 : part), cap, cap, now});
+    const double share = 1.0 / static_cast<double>(gateways);
+    const double cap = reports_ ? tenant.burst : std::max(1.0, tenant.burst * share);
+    gateway_buckets_.assign(gateways, {rate_ * (reports_ ? 1 : share), cap, cap, now});
     unreported_.assign(gateways, 0);
     reported_.assign(gateways, now);
-    all_ = {rate_, tenant.burst, tenant.burst, now};
+    shared_bucket_ = {rate_, tenant.burst, tenant.burst, now};
   }
   bool Grant(size_t gateway, Timestamp now) {
     constexpr Duration kReportInterval = Milliseconds(500);
     if (reports_ && now - reported_[gateway] >= kReportInterval) {
-      // What it granted is told, and what is left of all is heard.
+      // Reports the gateway's grants and takes over the remaining level of the shared bucket.
       reported_[gateway] = now;
-      limits::Refill(&all_, now);
-      all_.level -= std::exchange(unreported_[gateway], 0);
-      parts_[gateway].level = all_.level;
-      parts_[gateway].at = now;
+      limits::Refill(&shared_bucket_, now);
+      shared_bucket_.level -= std::exchange(unreported_[gateway], 0);
+      gateway_buckets_[gateway].level = shared_bucket_.level;
+      gateway_buckets_[gateway].at = now;
       messages_ += 2;
     }
-    limits::Refill(&parts_[gateway], now);
-    const bool granted = limits::Take(&parts_[gateway], 1) == 1;
+    limits::Refill(&gateway_buckets_[gateway], now);
+    const bool granted = limits::Take(&gateway_buckets_[gateway], 1) == 1;
     unreported_[gateway] += granted ? 1 : 0;
     return granted;
   }
@@ -175,73 +178,74 @@
  private:
   bool reports_;
   double rate_;
-  /// What each gateway believes to have.
-  std::vector<limits::TokenBucket> parts_;
+  /// Each gateway's view of its available tokens.
+  std::vector<limits::TokenBucket> gateway_buckets_;
   std::vector<double> unreported_;
   std::vector<Timestamp> reported_;
-  limits::TokenBucket all_;
+  limits::TokenBucket shared_bucket_;
   uint64_t messages_ = 0;
 };
 
-struct SimpleCount {
+struct BaselineCount {
   uint64_t asked = 0;
   uint64_t granted = 0;
   uint64_t messages = 0;
-  double fullest = 0;
+  double max_window_use = 0;
 };
 
-SimpleCount PlaySimple(bool reports, size_t gateways, const Demand& demand, uint64_t seed) {
+BaselineCount SimulateBaseline(bool reports, size_t gateways, const Demand& demand, uint64_t seed) {
   std::mt19937_64 random(seed);
   std::exponential_distribution<> gap(demand.per_second);
   std::uniform_int_distribution<size_t> any(0, gateways - 1);
   Timestamp now{Seconds(1000)};
-  const Timestamp end = now + Seconds(kSeconds);
-  SimpleWay way(reports, gateways, demand.tenant, now);
-  SimpleCount count;
+  const Timestamp end = now + Seconds(kMeasuredSeconds);
+  BaselineLimiter method(reports, gateways, demand.tenant, now);
+  BaselineCount count;
   std::vector<Timestamp> used;
   while ((now += Duration(static_cast<int64_t>(gap(random) * 1e6))) < end) {
     ++count.asked;
-    if (way.Grant(any(random), now)) {
+    if (method.Grant(any(random), now)) {
       ++count.granted;
       used.push_back(now);
     }
   }
-  const double most = (demand.tenant.requests_per_second * 5 + demand.tenant.burst) * 1.1 + 20;
+  const double bound = (demand.tenant.requests_per_second * 5 + demand.tenant.burst) * 1.1 + 20;
   size_t last = 0;
   for (size_t first = 0; first < used.size(); ++first) {
     while (last < used.size() && used[last] <= used[first] + Seconds(5)) {
       ++last;
     }
-    count.fullest = std::max(count.fullest, static_cast<double>(last - first) / most);
+    count.max_window_use =
+        std::max(count.max_window_use, static_cast<double>(last - first) / bound);
   }
-  count.messages = way.messages();
+  count.messages = method.messages();
   return count;
 }
 
-LimitCost MeasureSimple(bool reports, size_t gateways) {
-  LimitCost cost{.way = reports ? "counting, reports" : "fixed split", .gateways = gateways};
-  cost.played = gateways;
+LimitCost MeasureBaseline(bool reports, size_t gateways) {
+  LimitCost cost{.method = reports ? "counting, reports" : "fixed split", .gateways = gateways};
+  cost.simulated_gateways = gateways;
   double asked = 0;
   double refused = 0;
   double messages = 0;
   for (const Demand& demand : Demands(gateways, 1 / kHeadroom)) {
-    const SimpleCount count = PlaySimple(reports, gateways, demand, kSeed);
+    const BaselineCount count = SimulateBaseline(reports, gateways, demand, kSeed);
     asked += static_cast<double>(count.asked);
     refused += static_cast<double>(count.asked - count.granted);
     messages += static_cast<double>(count.messages);
   }
   cost.refused_below = 1000 * refused / asked;
   cost.bytes_per_node_second =
-      messages * BytesPerMessage() / kSeconds / static_cast<double>(gateways);
+      messages * BytesPerMessage() / kMeasuredSeconds / static_cast<double>(gateways);
   double granted = 0;
-  double given = 0;
-  for (const Demand& demand : Demands(gateways, kOver)) {
-    const SimpleCount count = PlaySimple(reports, gateways, demand, kSeed);
+  double limit_total = 0;
+  for (const Demand& demand : Demands(gateways, kOverloadFactor)) {
+    const BaselineCount count = SimulateBaseline(reports, gateways, demand, kSeed);
     granted += static_cast<double>(count.granted);
-    given += demand.tenant.requests_per_second * kSeconds;
-    cost.fullest = std::max(cost.fullest, count.fullest);
+    limit_total += demand.tenant.requests_per_second * kMeasuredSeconds;
+    cost.max_window_use = std::max(cost.max_window_use, count.max_window_use);
   }
-  cost.used_when_over = granted / given;
+  cost.granted_over_limit = granted / limit_total;
   return cost;
 }
 
@@ -251,8 +255,8 @@
   std::vector<LimitCost> costs;
   for (const size_t gateways : {88, 985, 8800}) {
     costs.push_back(MeasureLending(gateways));
-    costs.push_back(MeasureSimple(true, gateways));
-    costs.push_back(MeasureSimple(false, gateways));
+    costs.push_back(MeasureBaseline(true, gateways));
+    costs.push_back(MeasureBaseline(false, gateways));
   }
   return costs;
 }
@@ -262,10 +266,10 @@
       "way                gateways  played   grants/s   bytes/node/s   refused of 1000   used of "
       "limit at x8   fullest window\n";
   for (const LimitCost& cost : costs) {
-    absl::StrAppendFormat(&text, "%-18s %8d %7d %10.0f %14.1f %17.2f %21.2f %16.2f\n", cost.way,
-                          cost.gateways, cost.played, cost.grants_per_second,
-                          cost.bytes_per_node_second, cost.refused_below, cost.used_when_over,
-                          cost.fullest);
+    absl::StrAppendFormat(&text, "%-18s %8d %7d %10.0f %14.1f %17.2f %21.2f %16.2f\n", cost.method,
+                          cost.gateways, cost.simulated_gateways, cost.grants_per_second,
+                          cost.bytes_per_node_second, cost.refused_below, cost.granted_over_limit,
+                          cost.max_window_use);
   }
   return text;
 }
--- a/src/bench/limit_lending.h
+++ b/src/bench/limit_lending.h
@@ -1,6 +1,6 @@
-// What it costs to keep tenants' limits over a fleet, and what is refused below them, by how many
-// gateways there are: accounts that lend, and two simpler ways. Simulated time, no network; the
-// grants a second are real time.
+// Measures the cost of enforcing tenant limits over a fleet of gateways, and the share of requests
+// refused below the limits, by number of gateways. Compares lending accounts with two simpler
+// methods. Simulated time without a network; grants per second are measured in wall-clock time.
 #pragma once
 
 #include <cstddef>
@@ -10,20 +10,21 @@
 namespace pumicedyke::bench {
 
 struct LimitCost {
-  std::string way;
+  std::string method;
   size_t gateways = 0;
-  /// Simulated; fewer stand for a larger fleet, with the same requests for each of them.
-  size_t played = 0;
-  /// Requests granted in a second of one processor, question and answer included.
+  /// Number of gateways simulated. If lower than `gateways`, each gets the same load as in the full
+  /// fleet.
+  size_t simulated_gateways = 0;
+  /// Requests granted per second of one processor, with the limit request and its reply.
   double grants_per_second = 0;
-  /// What a gateway sends about limits in a second, packets' headers included.
+  /// Bytes of limit messages that a gateway sends per second, with packet headers.
   double bytes_per_node_second = 0;
-  /// Of a thousand requests of tenants at their limit over 1.6.
+  /// Refused requests per thousand when every tenant sends its limit divided by 1.6.
   double refused_below = 0;
-  /// Tenants that send 8 times their limit: granted over what the limit gives.
-  double used_when_over = 0;
-  /// The fullest window over its bound.
-  double fullest = 0;
+  /// Granted requests divided by the limit when every tenant sends 8 times its limit.
+  double granted_over_limit = 0;
+  /// Highest number of granted requests in any window, divided by the bound.
+  double max_window_use = 0;
 };
 
 std::vector<LimitCost> MeasureLimits();
--- a/src/bench/report.cc
+++ b/src/bench/report.cc
@@ -14,8 +14,8 @@
 namespace pumicedyke::bench {
 namespace {
 
-/// Differences below this many standard errors count as noise.
-constexpr double kNoise = 2.0;
+/// Differences of up to this many standard errors count as noise.
+constexpr double kNoiseStandardErrors = 2.0;
 
 std::vector<std::string> VariantsOf(const Report& report) {
   std::vector<std::string> names;
@@ -101,9 +101,9 @@
       y_high = std::max(y_high, point.y);
     }
   }
-  constexpr double kSmallest = 0.01;
+  constexpr double kMinPlottedValue = 0.01;
   const Axis x(x_low, x_high, false, kMargin, kWidth - 20);
-  const Axis y(plot.log_y ? std::max(y_low, kSmallest) : y_low, y_high, plot.log_y,
+  const Axis y(plot.log_y ? std::max(y_low, kMinPlottedValue) : y_low, y_high, plot.log_y,
                kHeight - kMargin, 30);
   std::string svg = absl::StrFormat(
       "<svg viewBox=\"0 0 %g %g\" width=\"%g\" font-family=\"sans-serif\" font-size=\"11\">\n"
@@ -150,7 +150,7 @@
   return plot;
 }
 
-/// The latency distributions of one load, first seed.
+/// Plots the latency distribution of each variant's first run at one load.
 Plot PlotDistribution(const Report& report, double load) {
   Plot plot{absl::StrFormat("latency distribution at load %.2f", load),
             "share of queries",
@@ -286,7 +286,8 @@
   try {
     return json.get<Report>();
   } catch (const Json::exception& error) {
-    return MakeStatus(ResultCode::kInvalidConfig, path + " is no report: " + error.what());
+    return MakeStatus(ResultCode::kInvalidConfig,
+                      path + " is not a benchmark report: " + error.what());
   }
 }
 
@@ -305,9 +306,10 @@
         const double error = std::sqrt(a.deviation * a.deviation / static_cast<double>(a.count) +
                                        b.deviation * b.deviation / static_cast<double>(b.count));
         const double change = b.mean - a.mean;
-        if (std::abs(change) > kNoise * error && change != 0) {
+        if (std::abs(change) > kNoiseStandardErrors * error && change != 0) {
           absl::StrAppendFormat(&text, "%-13s load %.2f %-14s %12.4f -> %12.4f (noise %.4f)\n",
-                                variant, load, metric.name, a.mean, b.mean, kNoise * error);
+                                variant, load, metric.name, a.mean, b.mean,
+                                kNoiseStandardErrors * error);
         }
       }
     }
--- a/src/bench/report.h
+++ b/src/bench/report.h
@@ -1,5 +1,5 @@
-// Reports of benchmark runs: JSON, a page with plots, a table for the terminal, and the comparison
-// of two reports.
+// Reports of benchmark runs: JSON, an HTML page with plots, a table for the terminal, and a
+// comparison of two reports.
 #pragma once
 
 #include <string>
@@ -27,7 +27,7 @@
   size_t count = 0;
 };
 
-/// The metrics of a table or comparison, by name.
+/// A metric shown in tables, plots and comparisons.
 struct Metric {
   std::string name;
   double RunReport::*value;
--- a/src/bench/simulated_run.cc
+++ b/src/bench/simulated_run.cc
@@ -17,9 +17,10 @@
 constexpr char kService[] = "desk";
 constexpr char kCluster[] = "bench";
 constexpr double kBurstLoad = 1.3;
-constexpr Duration kReportLag = Seconds(2);
+/// Time after a sub-request's budget at which a paused leaf's missing reply counts as a failure.
+constexpr Duration kReplyGrace = Seconds(2);
 constexpr Duration kHealthInterval = Seconds(1);
-/// After the last query was sent, answers are waited for.
+/// Time to wait for answers after the last query was sent.
 constexpr Duration kDrain = Seconds(6);
 constexpr size_t kCurvePoints = 1000;
 
@@ -60,7 +61,7 @@
 }
 
 struct Sample {
-  Timestamp intended;
+  Timestamp arrival;
   double latency_ms = 0;
   double coverage = 0;
   bool refused = false;
@@ -93,14 +94,14 @@
  private:
   struct Leaf {
     std::unique_ptr<emulator::LeafModel> model;
-    bool dead = false;
-    bool frozen = false;
+    bool crashed = false;
+    bool paused = false;
     Timestamp next_pump{};
   };
   struct Node {
     std::unique_ptr<node::NodeServer> server;
     Timestamp next_tick{};
-    /// Connections to each leaf that are open, and those of them in use.
+    /// Number of open connections to each leaf, and how many of them are in use.
     std::map<std::string, std::pair<int, int>> connections;
   };
 
@@ -111,7 +112,7 @@
       model.slots = scenario_.slots;
       model.seed = options_.seed * 1000003 + i;
       model.results_per_shard = 1;
-      model.keep_runs = false;
+      model.record_runs = false;
       model.pause_offset = Milliseconds(static_cast<int64_t>(random_() % 10000));
       if (i != scenario_.pausing_leaf) {
         model.pause = Duration(0);
@@ -177,13 +178,13 @@
 
   void OnAnswer(uint64_t id, const query::Answer& answer) {
     Sample& sample = samples_[id];
-    const Duration latency = clock_.now() + scenario_.client_delay - sample.intended;
+    const Duration latency = clock_.now() + scenario_.client_delay - sample.arrival;
     sample.latency_ms = ToMilliseconds(latency);
     sample.coverage = answer.coverage.share();
     sample.refused = answer.code == ResultCode::kOverloaded;
     sample.complete = answer.code == ResultCode::kOk;
     sample.good = sample.complete || answer.code == ResultCode::kPartial;
-    if (sample.intended >= measure_from_) {
+    if (sample.arrival >= measure_from_) {
       sub_requests_ += answer.sub_requests;
     }
   }
@@ -198,7 +199,7 @@
     for (const query::SubRequestCancel& cancel : output.cancels) {
       clock_.After(scenario_.leaf_delay, [this, cancel] {
         Leaf& leaf = leafs_.at(cancel.leaf);
-        if (!leaf.dead && !leaf.frozen) {
+        if (!leaf.crashed && !leaf.paused) {
           leaf.model->Cancel(clock_.now(), cancel.origin, cancel.id);
           Pump(&leaf);
         }
@@ -211,9 +212,9 @@
   }
 
   void ScheduleTick(Node* node) {
-    constexpr Duration kShortestTick = Duration(100);
+    constexpr Duration kMinTickInterval = Duration(100);
     const Timestamp now = clock_.now();
-    const Timestamp wake = std::max(node->server->NextWake(now), now + kShortestTick);
+    const Timestamp wake = std::max(node->server->NextWake(now), now + kMinTickInterval);
     if (node->next_tick > now && node->next_tick <= wake) {
       return;
     }
@@ -237,19 +238,19 @@
       delay += scenario_.connection_cost;
     }
     origins_[request.origin] = node;
-    const Duration give_up = request.budget + kReportLag;
+    const Duration timeout = request.budget + kReplyGrace;
     const query::LeafRequest copy = request;
     clock_.After(delay, [this, node, request = std::move(request)] {
       Leaf& leaf = leafs_.at(request.leaf);
-      if (leaf.dead) {
+      if (leaf.crashed) {
         Reply(node, Failed(request, query::LeafStatus::kNotSent));
-      } else if (!leaf.frozen) {
+      } else if (!leaf.paused) {
         leaf.model->Submit(clock_.now(), request);
         Pump(&leaf);
       }
     });
-    if (leafs_.at(copy.leaf).frozen) {
-      clock_.After(give_up,
+    if (leafs_.at(copy.leaf).paused) {
+      clock_.After(timeout,
                    [this, node, copy] { Reply(node, Failed(copy, query::LeafStatus::kFailed)); });
     }
   }
@@ -282,7 +283,7 @@
     }
     leaf->next_pump = *next;
     clock_.At(*next, [this, leaf, at = *next] {
-      if (leaf->next_pump == at && !leaf->dead && !leaf->frozen) {
+      if (leaf->next_pump == at && !leaf->crashed && !leaf->paused) {
         leaf->next_pump = Timestamp{};
         Pump(leaf);
       }
@@ -292,7 +293,7 @@
   void PollHealth() {
     for (Node& node : nodes_) {
       for (auto& [name, leaf] : leafs_) {
-        if (!leaf.dead && !leaf.frozen) {
+        if (!leaf.crashed && !leaf.paused) {
           node.server->OnLeafHealth(clock_.now(), name, leaf.model->draining());
         }
       }
@@ -301,17 +302,17 @@
   }
 
   void ScheduleDisturbance() {
-    const bool strikes = options_.disturbance == Disturbance::kLostReplica ||
-                         options_.disturbance == Disturbance::kFrozenReplica;
-    if (!strikes) {
+    const bool hits_leaf = options_.disturbance == Disturbance::kLostReplica ||
+                           options_.disturbance == Disturbance::kFrozenReplica;
+    if (!hits_leaf) {
       return;
     }
     clock_.At(measure_from_ + options_.length / 2, [this] {
       Leaf& leaf = leafs_.at(scenario_.LeafName(scenario_.leafs / 2));
       if (options_.disturbance == Disturbance::kLostReplica) {
-        leaf.dead = true;
+        leaf.crashed = true;
       } else {
-        leaf.frozen = true;
+        leaf.paused = true;
       }
     });
   }
@@ -332,7 +333,7 @@
     double complete = 0;
     double good = 0;
     for (const Sample& sample : samples_) {
-      if (sample.intended < measure_from_) {
+      if (sample.arrival < measure_from_) {
         continue;
       }
       ++report.queries;
@@ -340,7 +341,7 @@
         refusals.push_back(sample.latency_ms - 2 * ToMilliseconds(scenario_.client_delay));
         continue;
       }
-      const int64_t second = (sample.intended - measure_from_) / Seconds(1);
+      const int64_t second = (sample.arrival - measure_from_) / Seconds(1);
       by_second[second].push_back(sample.latency_ms);
       good_by_second[second] += sample.good ? 1 : 0;
       latencies.push_back(sample.latency_ms);
--- a/src/bench/simulated_run.h
+++ b/src/bench/simulated_run.h
@@ -1,4 +1,4 @@
-// One benchmark run in simulated time: the product's node cores and the leaf model under an open
+// A benchmark run in simulated time: the product's node core and the leaf model under an open-loop
 // load. Deterministic for a seed.
 #pragma once
 
@@ -11,14 +11,14 @@
 
 namespace pumicedyke::bench {
 
-/// What happens in the middle of a run.
+/// The fault or load change in the middle of a run.
 enum class Disturbance {
   kNone,
-  /// A leaf dies and stays away.
+  /// A leaf crashes and does not restart.
   kLostReplica,
-  /// A leaf stands still and stays so.
+  /// A leaf is paused until the end of the run.
   kFrozenReplica,
-  /// The load is 130% of the slots for the middle third.
+  /// The load is 130% of all slots during the middle third.
   kBurst,
 };
 const char* DisturbanceName(Disturbance disturbance);
@@ -38,7 +38,7 @@
   double load = 0;
   uint64_t seed = 0;
   double offered_per_s = 0;
-  /// Complete answers, and answers that reached the policy's coverage, a second.
+  /// Complete answers per second, and answers per second that reached the policy's coverage.
   double complete_per_s = 0;
   double goodput_per_s = 0;
   uint64_t queries = 0;
@@ -46,18 +46,18 @@
   /// Among admitted queries.
   double complete_share = 0;
   double mean_coverage = 0;
-  /// Sub-requests beyond one a shard, as a share of those.
+  /// Sub-requests beyond one per shard, as a share of one per shard.
   double extra_share = 0;
   double p50_ms = 0;
   double p90_ms = 0;
   double p99_ms = 0;
   double p999_ms = 0;
-  /// From arrival at the node to the refusal.
+  /// Time from arrival at the node to the refusal.
   double refusal_p99_ms = 0;
   double shed_share = 0;
-  /// Latencies of admitted queries at 0, 1, ... 1000 thousandths.
+  /// Latency quantiles of admitted queries, in steps of one thousandth.
   std::vector<double> latency_curve_ms;
-  /// p99 and goodput of every second.
+  /// 99th percentile latency and goodput, for each second of the run.
   std::vector<double> p99_by_second_ms;
   std::vector<double> goodput_by_second;
   double cpu_s = 0;
--- a/src/bench/variant.cc
+++ b/src/bench/variant.cc
@@ -10,8 +10,8 @@
 constexpr Duration kBaselineDeadline = Seconds(2);
 constexpr double kNoLimit = 1e9;
 
-/// A client without limits per leaf, without ejection, and without admission control.
-void MakePlain(node::NodeOptions* options) {
+/// Configures a client without per-leaf limits, ejection or admission control.
+void DisableProtections(node::NodeOptions* options) {
   policy::QueryPlan plan;
   plan.deadline = kBaselineDeadline;
   plan.wait = kBaselineDeadline;
@@ -51,14 +51,14 @@
     case Variant::kOracle:
       break;
     case Variant::kWaitForAll:
-      MakePlain(options);
+      DisableProtections(options);
       break;
     case Variant::kNaiveRetry:
-      MakePlain(options);
+      DisableProtections(options);
       options->execution.naive_retry_timeout = kNaiveRetryTimeout;
       break;
     case Variant::kFixedHedge:
-      MakePlain(options);
+      DisableProtections(options);
       options->plan_override->hedge = true;
       options->execution.fixed_hedge_delay = kFixedHedgeDelay;
       break;
--- a/src/bench/variant.h
+++ b/src/bench/variant.h
@@ -1,4 +1,4 @@
-// What a benchmark runs: the product, or a baseline that shares its cores.
+// The variants that a benchmark runs: the product, or a baseline built on the same node core.
 #pragma once
 
 #include <string>
@@ -11,13 +11,13 @@
 
 enum class Variant {
   kProduct,
-  /// Sends once, to a replica chosen at random, and waits.
+  /// Sends each sub-request once, to a random replica, and waits.
   kWaitForAll,
   /// Retries after a fixed time-out, without a budget.
   kNaiveRetry,
   /// Hedges after a fixed delay, without a budget.
   kFixedHedge,
-  /// The product on back ends that never straggle or pause: the limit.
+  /// The product on back ends that never straggle or pause, as the upper bound.
   kOracle,
 };
 
@@ -28,7 +28,7 @@
 const std::vector<VariantInfo>& AllVariants();
 const VariantInfo* FindVariant(const std::string& name);
 
-/// Sets what the variant does differently from the product.
+/// Sets the options in which the variant differs from the product.
 void ApplyVariant(Variant variant, node::NodeOptions* options);
 void ApplyVariant(Variant variant, emulator::LeafModelOptions* options);
 
--- a/src/emulator/leaf_model.cc
+++ b/src/emulator/leaf_model.cc
@@ -58,7 +58,7 @@
 Timestamp LeafModel::FinishTime(Timestamp start, Duration service) const {
   Timestamp finish = AfterPause(start) + service;
   if (options_.pause.count() > 0) {
-    // Work that a pause cuts through goes on after it.
+    // Work interrupted by a pause continues after it.
     const Duration since = AfterPause(start).time_since_epoch() - options_.pause_offset;
     if (since.count() >= 0) {
       const Duration until_next = options_.pause_every - since % options_.pause_every;
@@ -140,7 +140,7 @@
 
 void LeafModel::Submit(Timestamp now, const LeafRequest& request) {
   ++received_;
-  if (keep_received_times_) {
+  if (record_received_times_) {
     received_at_.push_back(now);
   }
   if (const std::optional<LeafStatus> refusal = Refusal(request)) {
@@ -162,7 +162,7 @@
   }
 }
 
-void LeafModel::NoteRun(const LeafRequest& request, Timestamp start) {
+void LeafModel::RecordRun(const LeafRequest& request, Timestamp start) {
   runs_.push_back({request.origin, request.id, request.service, request.idempotency_key,
                    request.query, request.shard, request.snapshot, start});
 }
@@ -180,8 +180,8 @@
     if (options_.ignores_snapshot > 0 && uniform(random_) < options_.ignores_snapshot) {
       job.request.snapshot = NewestHeld(job.request);
     }
-    if (options_.keep_runs) {
-      NoteRun(job.request, start);
+    if (options_.record_runs) {
+      RecordRun(job.request, start);
     }
     running_.push_back({std::move(job), FinishTime(start, DrawService(start))});
   }
--- a/src/emulator/leaf_model.h
+++ b/src/emulator/leaf_model.h
@@ -1,6 +1,6 @@
-// A back end as the brief describes it, for tests, the simulator, benchmarks and the leaf stand-in:
-// slots, stragglers, pauses, cold starts, shedding, draining, cancellation, lagging snapshots.
-// Seeded; no socket, clock or thread.
+// A model of a back end, for tests, the simulator, benchmarks and the stand-in leaf process: slots,
+// stragglers, pauses, cold starts, load shedding, draining, cancellation and lagging snapshots.
+// Deterministic for a seed; uses no sockets, clocks or threads.
 #pragma once
 
 #include <deque>
@@ -19,33 +19,33 @@
 struct LeafModelOptions {
   std::string name;
   uint32_t slots = 2;
-  /// Log-normal service time.
+  /// Parameters of the log-normal service time.
   double median_ms = 4;
   double sigma = 0.4;
   /// Share of sub-requests that take `straggler_min` to `straggler_max` times longer.
   double straggler_share = 0.01;
   double straggler_min = 10;
   double straggler_max = 50;
-  /// The leaf stands still for `pause` every `pause_every`; zero means never.
+  /// The leaf pauses for `pause` every `pause_every`; zero means never.
   Duration pause{};
   Duration pause_every = Seconds(10);
   Duration pause_offset{};
-  /// For this long after its start the leaf is slower by the factor.
+  /// For `cold_time` after its start the leaf is slower by `cold_factor`.
   Duration cold_time{};
   double cold_factor = 5;
-  /// Sheds what would exceed this many requests per slot, running and queued.
+  /// Requests per slot, running and queued, at which the leaf sheds further ones.
   double shed_per_slot = 2;
   size_t results_per_shard = 2;
-  /// True: serves every snapshot and shard it is asked for.
+  /// Whether the leaf serves every snapshot and shard, not only those set by Hold().
   bool holds_everything = true;
-  /// Share of sub-requests answered on the newest held snapshot, whichever was asked for.
+  /// Share of sub-requests answered on the newest held snapshot instead of the requested one.
   double ignores_snapshot = 0;
-  /// Remembers everything that ran, for checkers.
-  bool keep_runs = true;
+  /// Whether runs() records every sub-request that ran.
+  bool record_runs = true;
   uint64_t seed = 1;
 };
 
-/// What really ran, for checkers.
+/// A sub-request that ran, as ground truth for checks.
 struct RunRecord {
   std::string origin;
   SubRequestId id;
@@ -62,29 +62,29 @@
   LeafModel(LeafModelOptions options, Timestamp now);
 
   void Submit(Timestamp now, const query::LeafRequest& request);
-  /// Honoured only while the request is still queued.
+  /// Cancels a request that is still queued; has no effect on a running one.
   void Cancel(Timestamp now, const std::string& origin, SubRequestId id);
   void SetDraining(bool draining) { draining_ = draining; }
   bool draining() const { return draining_; }
   void Hold(const std::string& service, SnapshotId snapshot, std::set<ShardId> shards);
   void Drop(const std::string& service, SnapshotId snapshot);
 
-  /// @return replies that are due.
+  /// Advances the model to `now`. @return the replies that are due.
   std::vector<query::LeafReply> Advance(Timestamp now);
-  /// The process died: everything queued and running is gone.
+  /// Restarts the process: drops all queued and running requests.
   void Restart(Timestamp now);
-  /// When the next reply is due, if any.
+  /// Returns the time of the next due reply, if any.
   std::optional<Timestamp> NextEvent() const;
 
   uint32_t load() const { return static_cast<uint32_t>(running_.size() + queue_.size()); }
   const std::vector<RunRecord>& runs() const { return runs_; }
   uint64_t received() const { return received_; }
   uint64_t shed() const { return shed_; }
-  /// Work accepted while draining; must stay zero a few seconds after draining began.
+  /// Arrival times of all requests, refused ones included, if RecordReceivedTimes() was called.
   const std::vector<Timestamp>& received_at() const { return received_at_; }
-  void KeepReceivedTimes() { keep_received_times_ = true; }
+  void RecordReceivedTimes() { record_received_times_ = true; }
 
-  /// The results that a shard gives for a query on a snapshot; checkers compare with it.
+  /// Returns the results of a shard for a query on a snapshot; checks compare replies with them.
   static std::vector<query::ResultItem> ResultsOf(const std::string& service, ShardId shard,
                                                   SnapshotId snapshot, const std::string& query,
                                                   size_t count);
@@ -106,7 +106,7 @@
   void ReplyAt(Timestamp at, const query::LeafRequest& request, query::LeafStatus status);
   query::LeafReply MakeReply(const query::LeafRequest& request, query::LeafStatus status) const;
   SnapshotId NewestHeld(const query::LeafRequest& request) const;
-  void NoteRun(const query::LeafRequest& request, Timestamp start);
+  void RecordRun(const query::LeafRequest& request, Timestamp start);
   void StartQueued(Timestamp now);
 
   LeafModelOptions options_;
@@ -116,12 +116,12 @@
   std::map<std::pair<std::string, SnapshotId>, std::set<ShardId>> held_;
   std::deque<Job> queue_;
   std::vector<Running> running_;
-  /// Replies to send at a time: refusals, delayed by a pause.
+  /// Refusals to send, by due time; a pause delays them.
   std::multimap<Timestamp, query::LeafReply> replies_;
   std::vector<RunRecord> runs_;
   uint64_t received_ = 0;
   uint64_t shed_ = 0;
-  bool keep_received_times_ = false;
+  bool record_received_times_ = false;
   std::vector<Timestamp> received_at_;
 };
 
--- a/src/sim/leaf_host.h
+++ b/src/sim/leaf_host.h
@@ -17,7 +17,7 @@
       : SimProcess(clock, options.name),
         model_(options, clock->now()),
         on_reply_(std::move(on_reply)) {
-    model_.KeepReceivedTimes();
+    model_.RecordReceivedTimes();
   }
 
   void Start() {
--- a/test/bench/report_test.cc
+++ b/test/bench/report_test.cc
@@ -1,4 +1,5 @@
-// Benchmarks repeat exactly, and comparisons tell changes from noise.
+// Tests that benchmark runs are deterministic for a seed, that comparisons of reports ignore noise,
+// and that all scenario files are valid.
 #include "bench/report.h"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -25,7 +26,7 @@
 class ReportTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ReportTest);
   CPPUNIT_TEST(SameSeedSameReport);
-  CPPUNIT_TEST(NoiseIsNoChange);
+  CPPUNIT_TEST(NoiseIsNotReportedAsChange);
   CPPUNIT_TEST(EveryScenarioFileIsAccepted);
   CPPUNIT_TEST_SUITE_END();
 
@@ -39,14 +40,14 @@
     RunReport first = RunSimulated(*scenario, options);
     RunReport second = RunSimulated(*scenario, options);
     CPPUNIT_ASSERT(first.queries > 100);
-    // The only thing measured outside of simulated time.
+    // CPU time is the only value not measured in simulated time.
     first.cpu_s = second.cpu_s = 0;
     CPPUNIT_ASSERT_EQUAL(Json(first).dump(), Json(second).dump());
     options.seed = 2;
     CPPUNIT_ASSERT(RunSimulated(*scenario, options).p99_ms != first.p99_ms);
   }
 
-  void NoiseIsNoChange() {
+  void NoiseIsNotReportedAsChange() {
     const Report before = TwoSeeds(100, 110);
     CPPUNIT_ASSERT_EQUAL(std::string("no change beyond the noise\n"),
                          Compare(before, TwoSeeds(104, 112)));
