--- a/src/bench/limit_lending.cc
+++ b/src/bench/limit_lending.cc
@@ -20,13 +20,13 @@
 constexpr double kRequestsPerGateway = 0.55;
 constexpr double kHeadroom = 1.6;
 constexpr double kOverloadFactor = 8;
-constexpr Duration kWarm = Seconds(14);
+constexpr Duration kWarmUp = Seconds(14);
 constexpr int kMeasuredSeconds = 40;
 constexpr size_t kMaxSimulatedGateways = 985;
 constexpr double kPacketHeaders = 52;
 constexpr uint64_t kSeed = 17;
 
-std::vector<Demand> Demands(size_t gateways, double of_limit) {
+std::vector<Demand> Demands(size_t gateways, double limit_factor) {
   const double total = kRequestsPerGateway * static_cast<double>(gateways);
   double sum = 0;
   for (size_t i = 1; i <= kTenants; ++i) {
@@ -39,7 +39,7 @@
     demand.tenant.requests_per_second =
         kHeadroom * total * std::pow(static_cast<double>(i), -1.2) / sum;
     demand.tenant.burst = std::max(2.0, demand.tenant.requests_per_second);
-    demand.per_second = demand.tenant.requests_per_second * of_limit;
+    demand.per_second = demand.tenant.requests_per_second * limit_factor;
     demands.push_back(std::move(demand));
   }
   return demands;
@@ -113,7 +113,7 @@
   cost.grants_per_second = GrantsPerSecond(gateways);
   limits::SimulatedFleet fleet({.gateways = cost.simulated_gateways, .seed = kSeed});
   fleet.SetDemand(Demands(cost.simulated_gateways, 0));
-  fleet.Run(kWarm);
+  fleet.Run(kWarmUp);
   const std::vector<Demand> below_limit = Demands(cost.simulated_gateways, 1 / kHeadroom);
   fleet.SetDemand(below_limit);
   const uint64_t before = fleet.messages();
--- a/src/bench/simulated_run.cc
+++ b/src/bench/simulated_run.cc
@@ -83,7 +83,7 @@
     measure_from_ = clock_.now() + options_.warm_up;
     ScheduleDisturbance();
     PollHealth();
-    NextArrival(load_end);
+    ScheduleNextArrival(load_end);
     while (clock_.RunNext(load_end + kDrain)) {
     }
     RunReport report = MakeReport();
@@ -150,7 +150,7 @@
     return in_burst ? kBurstLoad : options_.load;
   }
 
-  void NextArrival(Timestamp end) {
+  void ScheduleNextArrival(Timestamp end) {
     std::exponential_distribution<double> gap(LoadNow() * scenario_.CapacityQueries());
     const Duration wait(static_cast<int64_t>(gap(random_) * 1e6));
     if (clock_.now() + wait >= end) {
@@ -158,7 +158,7 @@
     }
     clock_.After(wait, [this, end] {
       Ask();
-      NextArrival(end);
+      ScheduleNextArrival(end);
     });
   }
 
--- a/src/emulator/leaf_model.cc
+++ b/src/emulator/leaf_model.cc
@@ -17,11 +17,12 @@
 LeafModel::LeafModel(LeafModelOptions options, Timestamp now)
     : options_(std::move(options)), random_(options_.seed), started_(now) {}
 
-void LeafModel::Hold(const std::string& service, SnapshotId snapshot, std::set<ShardId> shards) {
+void LeafModel::SetHeldShards(const std::string& service, SnapshotId snapshot,
+                              std::set<ShardId> shards) {
   held_[{service, snapshot}] = std::move(shards);
 }
 
-void LeafModel::Drop(const std::string& service, SnapshotId snapshot) {
+void LeafModel::RemoveSnapshot(const std::string& service, SnapshotId snapshot) {
   held_.erase({service, snapshot});
 }
 
--- a/src/emulator/leaf_model.h
+++ b/src/emulator/leaf_model.h
@@ -36,7 +36,7 @@
   /// Requests per slot, running and queued, at which the leaf sheds further ones.
   double shed_per_slot = 2;
   size_t results_per_shard = 2;
-  /// Whether the leaf serves every snapshot and shard, not only those set by Hold().
+  /// Whether the leaf serves every snapshot and shard, not only those set by SetHeldShards().
   bool holds_everything = true;
   /// Share of sub-requests answered on the newest held snapshot instead of the requested one.
   double ignores_snapshot = 0;
@@ -66,8 +66,9 @@
   void Cancel(Timestamp now, const std::string& origin, SubRequestId id);
   void SetDraining(bool draining) { draining_ = draining; }
   bool draining() const { return draining_; }
-  void Hold(const std::string& service, SnapshotId snapshot, std::set<ShardId> shards);
-  void Drop(const std::string& service, SnapshotId snapshot);
+  /// Sets the shards of a snapshot that the leaf holds.
+  void SetHeldShards(const std::string& service, SnapshotId snapshot, std::set<ShardId> shards);
+  void RemoveSnapshot(const std::string& service, SnapshotId snapshot);
 
   /// Advances the model to `now`. @return the replies that are due.
   std::vector<query::LeafReply> Advance(Timestamp now);
--- a/src/sim/history.cc
+++ b/src/sim/history.cc
@@ -95,17 +95,17 @@
   }
   std::set<std::string> seen;
   for (const query::ResultItem& item : answer.results) {
-    const auto wanted = expected.find(item.id);
+    const auto expected_item = expected.find(item.id);
     const bool twice = !seen.insert(item.id).second;
-    if (wanted == expected.end() || twice) {
+    if (expected_item == expected.end() || twice) {
       Fail(Invariant::kTruthfulCoverage, time,
            absl::StrCat(
                call.query, ": result ", item.id,
                twice ? " is there twice" : " is of a shard that the coverage does not list"));
-    } else if (item.score != wanted->second.score) {
+    } else if (item.score != expected_item->second.score) {
       Fail(Invariant::kOwnCompleteAnswer, time,
            absl::StrCat(call.query, ": result ", item.id, " belongs to another query"));
-    } else if (item.text != wanted->second.text) {
+    } else if (item.text != expected_item->second.text) {
       Fail(Invariant::kOneSnapshot, time,
            absl::StrCat(call.query, ": result ", item.id, " is of ", item.text,
                         ", the answer says ", answer.snapshot.value));
@@ -118,11 +118,11 @@
 }
 
 void History::CheckCoverage(Timestamp time, const CallRecord& call, const query::Answer& answer) {
-  std::set<ShardId> named(answer.coverage.included.begin(), answer.coverage.included.end());
+  std::set<ShardId> listed(answer.coverage.included.begin(), answer.coverage.included.end());
   for (const query::MissingShard& missing : answer.coverage.missing) {
-    named.insert(missing.shard);
+    listed.insert(missing.shard);
   }
-  if (named.size() != answer.coverage.total()) {
+  if (listed.size() != answer.coverage.total()) {
     Fail(Invariant::kTruthfulCoverage, time, call.query + ": a shard is named twice");
   }
   const bool all_included = answer.coverage.missing.empty();
@@ -134,7 +134,7 @@
   if (call.snapshot.has_value() && answer.snapshot != *call.snapshot) {
     Fail(Invariant::kOneSnapshot, time, call.query + ": continued on another snapshot");
   }
-  if (!call.shards.empty() && named != std::set<ShardId>(call.shards.begin(), call.shards.end())) {
+  if (!call.shards.empty() && listed != std::set<ShardId>(call.shards.begin(), call.shards.end())) {
     Fail(Invariant::kTruthfulCoverage, time, call.query + ": other shards than asked for");
   }
 }
@@ -230,8 +230,9 @@
   const std::vector<uint64_t>& attempts = calls_of_query_.at(calls_[refusal.call].query);
   return std::any_of(attempts.begin(), attempts.end(), [&](uint64_t id) {
     const CallRecord& attempt = calls_[id];
-    const bool open_then = !attempt.answered.has_value() || *attempt.answered > refusal.refused_at;
-    return id != refusal.call && open_then && attempt.sent <= run.started &&
+    const bool in_progress =
+        !attempt.answered.has_value() || *attempt.answered > refusal.refused_at;
+    return id != refusal.call && in_progress && attempt.sent <= run.started &&
            run.origin.starts_with(attempt.node + ".");
   });
 }
@@ -273,9 +274,9 @@
                       change.submission_id));
   }
   if (change.expected_revision.has_value()) {
-    const auto [winner, alone] = accepted_on_revision_.try_emplace(
+    const auto [winner, first_on_revision] = accepted_on_revision_.try_emplace(
         {change.service, *change.expected_revision}, change.submission_id);
-    if (!alone) {
+    if (!first_on_revision) {
       Fail(Invariant::kConfigInForce, time,
            absl::StrCat(winner->second, " and ", change.submission_id, " both won on revision ",
                         *change.expected_revision));
@@ -292,7 +293,7 @@
 }
 
 void History::OnNodeStart(const std::string& node, uint64_t accepted_before) {
-  node_floor_[node] = accepted_before;
+  min_start_version_[node] = accepted_before;
   node_version_[node].reset();
 }
 
@@ -302,9 +303,9 @@
     Fail(Invariant::kConfigInForce, time,
          absl::StrCat(node, " went back from version ", *known, " to ", version));
   }
-  if (!known.has_value() && version < node_floor_[node]) {
+  if (!known.has_value() && version < min_start_version_[node]) {
     Fail(Invariant::kConfigInForce, time,
-         absl::StrCat(node, " started with version ", version, " after ", node_floor_[node],
+         absl::StrCat(node, " started with version ", version, " after ", min_start_version_[node],
                       " was accepted"));
   }
   known = version;
--- a/src/sim/history.h
+++ b/src/sim/history.h
@@ -140,7 +140,7 @@
   /// Unset until the node has received a configuration since its start.
   std::map<std::string, std::optional<uint64_t>> node_version_;
   /// Highest version accepted before the node's last start; the node must not start below it.
-  std::map<std::string, uint64_t> node_floor_;
+  std::map<std::string, uint64_t> min_start_version_;
 };
 
 }  // namespace pumicedyke::sim
--- a/src/sim/leaf_host.h
+++ b/src/sim/leaf_host.h
@@ -40,7 +40,7 @@
       Pump();
     });
   }
-  void AskHealth(const std::function<void(bool draining)>& on_report) {
+  void QueryHealth(const std::function<void(bool draining)>& on_report) {
     Run([this, on_report] { on_report(model_.draining()); });
   }
   emulator::LeafModel* model() { return &model_; }
--- a/src/sim/limit_fleet.cc
+++ b/src/sim/limit_fleet.cc
@@ -113,8 +113,8 @@
     tenants.push_back(demand.tenant);
   }
   for (size_t i = 0; i < gateways_.size(); ++i) {
-    const auto late = static_cast<int64_t>(Chance() * static_cast<double>(spread.count()));
-    At(now_ + Duration(late), i, [this, i, tenants] {
+    const auto apply_delay = static_cast<int64_t>(Chance() * static_cast<double>(spread.count()));
+    At(now_ + Duration(apply_delay), i, [this, i, tenants] {
       gateways_[i].limits->SetTenants(now_, tenants);
       Collect(i);
     });
@@ -303,16 +303,16 @@
 
 void SimulatedFleet::SendList(size_t i, const List& list) {
   Gateway& gateway = gateways_[i];
-  const bool hides = now_ < gateway.hidden_until;
-  if (gateway.sent_list == list.number && gateway.sent_hidden == hides) {
+  const bool hiding = now_ < gateway.hidden_until;
+  if (gateway.sent_list == list.number && gateway.sent_hidden == hiding) {
     return;
   }
   std::set<size_t> nodes = list.nodes;
-  if (hides) {
+  if (hiding) {
     std::erase_if(nodes, [&](size_t index) { return gateway.hidden.contains(index); });
   }
   gateway.sent_list = list.number;
-  gateway.sent_hidden = hides;
+  gateway.sent_hidden = hiding;
   gateway.limits->SetGateways(now_, Records(nodes));
   Collect(i);
 }
--- a/src/sim/limit_fleet.h
+++ b/src/sim/limit_fleet.h
@@ -54,10 +54,14 @@
   std::optional<bool> AskAt(size_t gateway, size_t tenant);
 
   // Faults. Lag() and Hide() model gateways with different views of the fleet.
+  /// Kills a gateway. @param noticed whether its connections close, so that the other gateways and
+  /// control notice at once.
   void Kill(size_t gateway, bool noticed);
+  /// Starts a gateway that is down, as a new incarnation.
   void Start(size_t gateway);
   /// Removes the gateway from the list while its process keeps running.
   void Drain(size_t gateway);
+  /// Pauses a gateway; messages to it are delivered when it resumes.
   void Freeze(size_t gateway, Duration length);
   /// Drops all messages into or out of the gateway, or both, control included.
   void Cut(size_t gateway, bool in, bool out, Duration length);
--- a/src/sim/nemesis.cc
+++ b/src/sim/nemesis.cc
@@ -210,7 +210,7 @@
     world_->network.CutBoth(world_->controls[index]->name(), world_->controls[other]->name());
     world_->network.CutBoth(world_->controls[index]->name(), world_->controls[third]->name());
     AfterRandomDelay(900, 1500, [this] { world_->network.HealAll(); });
-    WatchRepair(world_->repairs);
+    LoseDiskAfterRepair(world_->repairs);
   });
 }
 
@@ -247,10 +247,10 @@
   }
 }
 
-void Nemesis::WatchRepair(uint64_t repairs_before) {
+void Nemesis::LoseDiskAfterRepair(uint64_t repairs_before) {
   AfterRandomDelay(20, 60, [this, repairs_before] {
     if (world_->repairs == repairs_before) {
-      WatchRepair(repairs_before);
+      LoseDiskAfterRepair(repairs_before);
       return;
     }
     // Another fault may have lost a disk meanwhile; the second loss must not hit during a repair.
--- a/src/sim/nemesis.h
+++ b/src/sim/nemesis.h
@@ -56,7 +56,7 @@
   void LoseDisksInTurn();
   void LoseTwoMoreDisks(size_t first);
   void LoseDiskBriefly(size_t index);
-  void WatchRepair(uint64_t repairs_before);
+  void LoseDiskAfterRepair(uint64_t repairs_before);
   void PlannedStopControl();
   void BadNetwork();
   void AfterRandomDelay(int64_t low_ms, int64_t high_ms, std::function<void()> action);
--- a/src/sim/node_host.cc
+++ b/src/sim/node_host.cc
@@ -103,7 +103,7 @@
   for (const node::CallerAnswer& answer : output.answers) {
     callbacks_.to_caller(this, answer.request, answer.answer);
   }
-  callbacks_.stepped(this);
+  callbacks_.after_step(this);
 }
 
 void NodeHost::Ask(RequestId id, const query::CallerRequest& request) {
--- a/src/sim/node_host.h
+++ b/src/sim/node_host.h
@@ -20,7 +20,8 @@
     std::function<void(NodeHost*, const query::SubRequestCancel&)> cancel;
     std::function<void(NodeHost*, size_t control, const wire::Envelope&)> to_control;
     std::function<void(NodeHost*, RequestId, const query::Answer&)> to_caller;
-    std::function<void(NodeHost*)> stepped;
+    /// Runs after the outputs of each step were sent.
+    std::function<void(NodeHost*)> after_step;
   };
 
   NodeHost(ClockQueue* clock, const std::string& name, node::NodeOptions options,
--- a/src/sim/scenario.cc
+++ b/src/sim/scenario.cc
@@ -23,8 +23,8 @@
       Ask(node, kReadService);
       Ask(node, kJobService);
     }
-    world_->SubmitUntilAccepted(world_->MakePolicyChange(kReadService, "final-probe"),
-                                [this] { accepted_ = true; });
+    world_->SubmitUntilDecided(world_->MakePolicyChange(kReadService, "final-probe"),
+                               [this] { accepted_ = true; });
   }
 
   void Check() {
@@ -81,7 +81,7 @@
     *done = true;
     return;
   }
-  world->SubmitUntilAccepted(
+  world->SubmitUntilDecided(
       world->MakePolicyChange(kReadService, absl::StrCat("first-", remaining)),
       [world, remaining, done] { SubmitInTurn(world, remaining - 1, done); });
 }
--- a/src/sim/world.cc
+++ b/src/sim/world.cc
@@ -67,7 +67,7 @@
     };
     callbacks.to_session = [this, name](control::SessionId session,
                                         const wire::Envelope& envelope) {
-      ToSession(name, session, envelope);
+      SendToSession(name, session, envelope);
     };
     callbacks.close_session = [this, name, i](control::SessionId session) {
       NodeHost* node = nodes[session % kSessionsPerIncarnation].get();
@@ -98,14 +98,14 @@
     options.subscriber.control_machines = options_.control_machines;
     NodeHost::Callbacks callbacks;
     callbacks.to_leaf = [this](NodeHost* node, const query::LeafRequest& request) {
-      ToLeaf(node, request);
+      SendToLeaf(node, request);
     };
     callbacks.cancel = [this](NodeHost* node, const query::SubRequestCancel& cancel) {
       network.SendOnce(node->name(), cancel.leaf,
                        [this, cancel] { leafs.at(cancel.leaf)->Cancel(cancel.origin, cancel.id); });
     };
     callbacks.to_control = [this](NodeHost* node, size_t control, const wire::Envelope& envelope) {
-      ToControl(node, control, envelope);
+      SendToControl(node, control, envelope);
     };
     callbacks.to_caller = [this](NodeHost* /*node*/, RequestId id, const query::Answer& answer) {
       const auto caller = callers_.find(id.value);
@@ -113,7 +113,7 @@
         caller->second(answer);
       }
     };
-    callbacks.stepped = [this](NodeHost* node) { ObserveNode(node); };
+    callbacks.after_step = [this](NodeHost* node) { ObserveNode(node); };
     nodes.push_back(std::make_unique<NodeHost>(&clock, absl::StrCat("node-", i), options,
                                                options_.disabled, callbacks));
   }
@@ -163,7 +163,7 @@
   return map;
 }
 
-void World::HoldEverywhere(const std::string& service, uint64_t snapshot) {
+void World::SetHeldShardsOfLeafs(const std::string& service, uint64_t snapshot) {
   for (const std::string& name : LeafNames(service)) {
     std::set<ShardId> shards;
     for (const config::Shard& shard : PartitionMap(service, snapshot)) {
@@ -171,7 +171,7 @@
         shards.insert(shard.id);
       }
     }
-    leafs.at(name)->model()->Hold(service, SnapshotId{snapshot}, std::move(shards));
+    leafs.at(name)->model()->SetHeldShards(service, SnapshotId{snapshot}, std::move(shards));
   }
 }
 
@@ -202,7 +202,7 @@
   return change;
 }
 
-void World::SubmitUntilAccepted(const config::Change& change, const std::function<void()>& done) {
+void World::SubmitUntilDecided(const config::Change& change, const std::function<void()>& done) {
   auto finished = std::make_shared<bool>(false);
   for (size_t i = 0; i < controls.size(); ++i) {
     Submit("operator-patient", i, change, [=](const config::ChangeResult& result) {
@@ -218,7 +218,7 @@
   }
   clock.After(Milliseconds(700), [=, this] {
     if (!*finished) {
-      SubmitUntilAccepted(change, done);
+      SubmitUntilDecided(change, done);
     }
   });
 }
@@ -245,7 +245,7 @@
     }
     changes.push_back(change);
     changes.push_back(MakeSnapshotChange(service, absl::StrCat("boot-snapshot-", service)));
-    HoldEverywhere(service, 1);
+    SetHeldShardsOfLeafs(service, 1);
     changes.push_back(MakePolicyChange(service, absl::StrCat("boot-policy-", service)));
   }
   auto remaining = std::make_shared<std::vector<config::Change>>(changes);
@@ -258,7 +258,7 @@
     }
     const config::Change change = remaining->front();
     remaining->erase(remaining->begin());
-    SubmitUntilAccepted(change, *next);
+    SubmitUntilDecided(change, *next);
   };
   (*next)();
   const Timestamp latest = clock.now() + Seconds(20);
@@ -300,7 +300,7 @@
 
 // ---- Leafs --------------------------------------------------------------------------------------
 
-void World::ToLeaf(NodeHost* node, const query::LeafRequest& request) {
+void World::SendToLeaf(NodeHost* node, const query::LeafRequest& request) {
   const PendingKey key{request.origin, request.id};
   pending_[key] = {node, request};
   LeafHost* leaf = leafs.at(request.leaf).get();
@@ -364,7 +364,7 @@
 void World::PollLeafsFor(NodeHost* node) {
   for (const auto& [name, leaf] : leafs) {
     network.Send(node->name(), name, [this, node, leaf = leaf.get()] {
-      leaf->AskHealth([this, node, leaf](bool draining) {
+      leaf->QueryHealth([this, node, leaf](bool draining) {
         // One report in five is delayed by two seconds.
         const Duration lag = Uniform() < 0.2 ? Seconds(2) : Duration(0);
         clock.After(lag, [this, node, leaf, draining] {
@@ -411,7 +411,7 @@
     change.leaf = name;
     change.submission_id =
         absl::StrCat("leave-", name, "-", clock.now().time_since_epoch().count());
-    SubmitUntilAccepted(change, [this, name] {
+    SubmitUntilDecided(change, [this, name] {
       if (leaving_.contains(name)) {
         history.OnLeafLeaving(name, clock.now());
       }
@@ -429,7 +429,7 @@
     change.kind = config::ChangeKind::kClearLeaving;
     change.leaf = name;
     change.submission_id = absl::StrCat("stay-", name, "-", clock.now().time_since_epoch().count());
-    SubmitUntilAccepted(change, [] {});
+    SubmitUntilDecided(change, [] {});
   }
   leafs.at(name)->model()->SetDraining(false);
   leaving_.erase(it);
@@ -450,13 +450,13 @@
       }
     }
     clock.After(Milliseconds(Between(0, 900)), [leaf, service, snapshot, shards] {
-      leaf->model()->Hold(service, SnapshotId{snapshot}, shards);
+      leaf->model()->SetHeldShards(service, SnapshotId{snapshot}, shards);
     });
     clock.After(Milliseconds(Between(1500, 2500)), [leaf, service, snapshot] {
-      leaf->model()->Drop(service, SnapshotId{snapshot - 1});
+      leaf->model()->RemoveSnapshot(service, SnapshotId{snapshot - 1});
     });
   }
-  clock.After(Milliseconds(300), [this, change] { SubmitUntilAccepted(change, [] {}); });
+  clock.After(Milliseconds(300), [this, change] { SubmitUntilDecided(change, [] {}); });
 }
 
 void World::KillLeaf(const std::string& name) {
--- a/src/sim/world.h
+++ b/src/sim/world.h
@@ -100,7 +100,7 @@
   bool disabled(std::string_view mechanism) const { return options_.disabled.contains(mechanism); }
 
   /// Resubmits until a definite result arrives, and runs `done` if the change was accepted.
-  void SubmitUntilAccepted(const config::Change& change, const std::function<void()>& done);
+  void SubmitUntilDecided(const config::Change& change, const std::function<void()>& done);
   config::Change MakePolicyChange(const std::string& service, const std::string& submission);
   config::Change MakeSnapshotChange(const std::string& service, const std::string& submission);
 
@@ -113,16 +113,16 @@
   void MakeLeafs();
   std::vector<std::string> LeafNames(const std::string& service) const;
   std::vector<config::Shard> PartitionMap(const std::string& service, uint64_t snapshot) const;
-  void HoldEverywhere(const std::string& service, uint64_t snapshot);
+  void SetHeldShardsOfLeafs(const std::string& service, uint64_t snapshot);
 
-  void ToLeaf(NodeHost* node, const query::LeafRequest& request);
+  void SendToLeaf(NodeHost* node, const query::LeafRequest& request);
   /// Crashes the leaf that a fatal request has reached, and restarts it later.
   void CrashLeaf(const query::LeafRequest& request);
   void ReplyToNode(const query::LeafReply& reply);
   void FailPending(const std::string& leaf);
-  void ToControl(NodeHost* node, size_t control, const wire::Envelope& envelope);
-  void ToSession(const std::string& control, control::SessionId session,
-                 const wire::Envelope& envelope);
+  void SendToControl(NodeHost* node, size_t control, const wire::Envelope& envelope);
+  void SendToSession(const std::string& control, control::SessionId session,
+                     const wire::Envelope& envelope);
   // Polls of leafs and of the platform, at a node's start and every second.
   void PollLeafsFor(NodeHost* node);
   void PollPlatformFor(NodeHost* node);
--- a/src/sim/world_control.cc
+++ b/src/sim/world_control.cc
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-void World::ToControl(NodeHost* node, size_t control, const wire::Envelope& envelope) {
+void World::SendToControl(NodeHost* node, size_t control, const wire::Envelope& envelope) {
   ControlHost* host = controls[control].get();
   // One session for each incarnation of a node at each machine.
   const auto node_index = static_cast<uint64_t>(node->name().back() - '0');
@@ -22,8 +22,8 @@
                [host, session, envelope] { host->ReceiveFromNode(session, envelope); });
 }
 
-void World::ToSession(const std::string& control, control::SessionId session,
-                      const wire::Envelope& envelope) {
+void World::SendToSession(const std::string& control, control::SessionId session,
+                          const wire::Envelope& envelope) {
   NodeHost* node = nodes[session % kSessionsPerIncarnation].get();
   network.Send(control, node->name(), [node, session, envelope] {
     if (node->incarnation() == session / kSessionsPerIncarnation) {
