--- a/src/admission/entry_gate.cc
+++ b/src/admission/entry_gate.cc
@@ -6,7 +6,7 @@
 namespace {
 
 EntryDecision Refused(ResultCode code, Duration retry_after = {}) {
-  return {EntryVerdict::kRefused, code, retry_after, nullptr};
+  return {EntryResult::kRefused, code, retry_after, nullptr};
 }
 
 }  // namespace
@@ -32,7 +32,7 @@
              : Duration(0);
 }
 
-EntryDecision EntryGate::Enter(Timestamp now, RequestId id, const routing::RouteTable& table,
+EntryDecision EntryGate::Admit(Timestamp now, RequestId id, const routing::RouteTable& table,
                                const routing::Route& route, std::string_view key,
                                Timestamp proven_at) {
   if (!table.set().keyed || route.open) {
@@ -44,15 +44,15 @@
   }
   const tenants::Tenant* tenant = table.keys().Find(key);
   if (!tenant->limited()) {
-    return {EntryVerdict::kAdmitted, ResultCode::kOk, {}, tenant};
+    return {EntryResult::kAdmitted, ResultCode::kOk, {}, tenant};
   }
-  const limits::LimitAnswer answer = limits_.Admit(now, id, *tenant, proven_at);
-  switch (answer.verdict) {
-    case limits::LimitVerdict::kGranted:
-      return {EntryVerdict::kAdmitted, ResultCode::kOk, {}, tenant};
-    case limits::LimitVerdict::kWaiting:
-      return {EntryVerdict::kWaiting, ResultCode::kOk, {}, tenant};
-    case limits::LimitVerdict::kRefused:
+  const limits::LimitResult answer = limits_.Admit(now, id, *tenant, proven_at);
+  switch (answer.status) {
+    case limits::LimitStatus::kGranted:
+      return {EntryResult::kAdmitted, ResultCode::kOk, {}, tenant};
+    case limits::LimitStatus::kWaiting:
+      return {EntryResult::kWaiting, ResultCode::kOk, {}, tenant};
+    case limits::LimitStatus::kRefused:
       break;
   }
   return Refused(ResultCode::kTenantLimit, answer.retry_after);
--- a/src/admission/entry_gate.h
+++ b/src/admission/entry_gate.h
@@ -20,10 +20,10 @@
   limits::LimitOptions limits;
 };
 
-enum class EntryVerdict { kAdmitted, kWaiting, kRefused };
+enum class EntryResult { kAdmitted, kWaiting, kRefused };
 
 struct EntryDecision {
-  EntryVerdict verdict = EntryVerdict::kAdmitted;
+  EntryResult result = EntryResult::kAdmitted;
   /// If refused: the reason, and the retry delay (zero: none).
   ResultCode code = ResultCode::kOk;
   Duration retry_after{};
@@ -41,7 +41,7 @@
   /// LimitDecision of limits().
   /// @param key API key of the client; empty if it sent none.
   /// @param proven_at time at which the configuration was last proven current.
-  EntryDecision Enter(Timestamp now, RequestId id, const routing::RouteTable& table,
+  EntryDecision Admit(Timestamp now, RequestId id, const routing::RouteTable& table,
                       const routing::Route& route, std::string_view key, Timestamp proven_at);
 
   /// Checks whether a request that has waited for its limit may still start with its key.
--- a/src/balance/extra_load_budget.h
+++ b/src/balance/extra_load_budget.h
@@ -17,12 +17,12 @@
   /// Records a regular sub-request sent under a policy that allows `share` extra ones for it.
   virtual void OnRegular(Timestamp now, double share) = 0;
   /// Charges one extra sub-request to the budget. @return false if it must not be sent.
-  bool TrySpend(Timestamp now) { return TrySpendPart(now, 1.0); }
+  bool TrySpend(Timestamp now) { return TrySpendFraction(now, 1.0); }
   /// The same for a caller that may use only the share `part` of the budget, 0 to 1; the rest is
   /// reserved for other callers.
-  virtual bool TrySpendPart(Timestamp now, double part) = 0;
+  virtual bool TrySpendFraction(Timestamp now, double part) = 0;
   /// Returns the share of the budget that is left, 0 to 1.
-  virtual double PartLeft(Timestamp now) = 0;
+  virtual double RemainingFraction(Timestamp now) = 0;
 };
 
 /// A token bucket that allows a fixed share of the regular sub-requests. Replacing a sub-request
@@ -36,7 +36,7 @@
     tokens_ = std::min(burst_, tokens_ + share);
   }
 
-  bool TrySpendPart(Timestamp /*now*/, double part) override {
+  bool TrySpendFraction(Timestamp /*now*/, double part) override {
     if (tokens_ < 1.0 + (1.0 - part) * burst_) {
       return false;
     }
@@ -44,7 +44,7 @@
     return true;
   }
 
-  double PartLeft(Timestamp /*now*/) override { return tokens_ / burst_; }
+  double RemainingFraction(Timestamp /*now*/) override { return tokens_ / burst_; }
 
   double tokens() const { return tokens_; }
 
@@ -63,11 +63,11 @@
   SlidingWindowBudget(Duration window, double ratio) : step_(window / kSteps), ratio_(ratio) {}
 
   /// Sets the fixed number of extra sub-requests, which may change at any time.
-  void SetAllowance(double allowance) { allowance_ = allowance; }
+  void SetBurst(double burst) { burst_ = burst; }
 
   void OnRegular(Timestamp now, double /*share*/) override { Current(now).regular += 1; }
 
-  bool TrySpendPart(Timestamp now, double part) override {
+  bool TrySpendFraction(Timestamp now, double part) override {
     const Step sum = Sum(now);
     if (sum.extra + 1 > part * Bound(sum)) {
       return false;
@@ -76,7 +76,7 @@
     return true;
   }
 
-  double PartLeft(Timestamp now) override {
+  double RemainingFraction(Timestamp now) override {
     const Step sum = Sum(now);
     const double bound = Bound(sum);
     return bound <= 0 ? 0 : std::clamp(1 - sum.extra / bound, 0.0, 1.0);
@@ -89,7 +89,7 @@
     double extra = 0;
   };
 
-  double Bound(const Step& sum) const { return ratio_ * sum.regular + allowance_; }
+  double Bound(const Step& sum) const { return ratio_ * sum.regular + burst_; }
 
   /// Returns the totals of the window that ends now.
   Step Sum(Timestamp now) {
@@ -120,7 +120,7 @@
 
   Duration step_;
   double ratio_;
-  double allowance_ = 0;
+  double burst_ = 0;
   int64_t number_ = 0;
   std::array<Step, kSteps + 1> steps_{};
 };
--- a/src/balance/knobs.h
+++ b/src/balance/knobs.h
@@ -61,7 +61,7 @@
   Duration max_ejection_time = Seconds(8);
 
   /// Maximum time for which a leaf gets no work before its first health report; zero disables this.
-  Duration first_report_patience{};
+  Duration first_report_timeout{};
   /// A report that a leaf is not draining is ignored for this long after a report that it is.
   /// Reports are up to two seconds late and may arrive out of order.
   Duration draining_hold = Seconds(3);
--- a/src/balance/leaf_pool.cc
+++ b/src/balance/leaf_pool.cc
@@ -175,7 +175,7 @@
   }
   // A leaf without a report may have started to leave long ago.
   const bool awaits_report =
-      !state.reported && now - state.configured_at < knobs_.first_report_patience;
+      !state.reported && now - state.configured_at < knobs_.first_report_timeout;
   return !awaits_report && HasRoom(state, now) ? Availability::kReady : Availability::kBusy;
 }
 
@@ -407,7 +407,7 @@
   return it == leafs_.end() ? 0 : RefusalRate(it->second.refusals, knobs_.refusals, now);
 }
 
-bool LeafPool::Crowded(const std::string& leaf) const {
+bool LeafPool::IsFull(const std::string& leaf) const {
   const auto it = leafs_.find(leaf);
   return it != leafs_.end() && it->second.refusals.crowded;
 }
--- a/src/balance/leaf_pool.h
+++ b/src/balance/leaf_pool.h
@@ -90,7 +90,7 @@
   /// Returns the share of sub-requests that the leaf is expected to refuse.
   double RefusalRateOf(Timestamp now, const std::string& leaf) const;
   /// Whether the leaf's last refusal was for lack of capacity, so that an early retry is useless.
-  bool Crowded(const std::string& leaf) const;
+  bool IsFull(const std::string& leaf) const;
 
   uint32_t Outstanding(const std::string& leaf) const;
   double Limit(const std::string& leaf) const;
--- a/src/bench/leaf_changes.cc
+++ b/src/bench/leaf_changes.cc
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "absl/strings/str_format.h"
-#include "gateway/pool_keeper.h"
+#include "gateway/leaf_pool_updater.h"
 
 namespace pumicedyke::bench {
 namespace {
@@ -31,7 +31,7 @@
   Timestamp now{Seconds(1)};
   gateway::LeafView view({});
   balance::LeafPool pool({}, 1);
-  gateway::PoolKeeper keeper("gateway", "zone-0", &pool);
+  gateway::LeafPoolUpdater pool_updater("gateway", "zone-0", &pool);
   routing::RouteSet set;
   wire::LeafFeed all;
   all.version = 1;
@@ -43,7 +43,7 @@
   }
   const routing::RouteTable table(std::move(set));
   const auto sync = [&](uint32_t gateways) {
-    keeper.Sync(now, view, view.TakeChanges(), {&table, gateways});
+    pool_updater.Sync(now, view, view.TakeChanges(), {&table, gateways});
   };
   auto begin = std::chrono::steady_clock::now();
   view.OnFeed(now, "control", all);
--- a/src/bench/limit_lending.cc
+++ b/src/bench/limit_lending.cc
@@ -48,7 +48,7 @@
 /// Returns the mean size on the wire of a limit request and its reply.
 double BytesPerMessage() {
   const uint64_t id = uint64_t{1} << 40;
-  const wire::LimitAsk ask{id, "tenant-11", 3, 1, false, 0, 0};
+  const wire::LimitRequest ask{id, "tenant-11", 3, 1, false, 0, 0};
   const wire::LimitGrant grant{id, "tenant-11",       wire::LimitStage::kGranted,
                                1,  Milliseconds(300), {}};
   const size_t bytes = wire::Encode(wire::Envelope{"cluster", 12, ask}).size() +
@@ -73,10 +73,10 @@
   tenants::Tenant& asked = tenants.front();
   asked.requests_per_second = 4;
   asked.burst = 2 * kGrants;
-  limits::KeeperPlacement placement;
+  limits::LenderPlacement placement;
   placement.SetAccounts({{asked.name, 0}});
   placement.SetGateways(list);
-  const std::string first = placement.Find({asked.name, 0}).first->node;
+  const std::string first = placement.Find({asked.name, 0}).primary->node;
   limits::TenantLimits lender(options, first, 1);
   limits::TenantLimits borrower(options, first == "g0" ? "g1" : "g0", 1);
   Timestamp now{Seconds(1000)};
@@ -94,9 +94,9 @@
   for (uint64_t i = 1; i <= kGrants; ++i) {
     now += Microseconds(10);
     borrower.Admit(now, RequestId{i}, asked, now);
-    for (const limits::LimitQuestion& request : borrower.TakeOutput().questions) {
-      lender.OnAsk(now, 1, request.ask, now);
-      for (const limits::LimitWord& reply : lender.TakeOutput().words) {
+    for (const limits::OutgoingLimitRequest& request : borrower.TakeOutput().requests) {
+      lender.OnLimitRequest(now, 1, request.ask, now);
+      for (const limits::OutgoingLimitGrant& reply : lender.TakeOutput().grants) {
         borrower.OnGrant(now, first, reply.grant);
         lent += reply.grant.granted;
       }
--- a/src/bench/simulated_run.cc
+++ b/src/bench/simulated_run.cc
@@ -172,7 +172,7 @@
       request.query = "q";
       Node& node = nodes_[index];
       node.server->OnCallerRequest(clock_.now(), RequestId{id}, request);
-      CarryOut(&node);
+      DispatchOutput(&node);
     });
   }
 
@@ -191,7 +191,7 @@
 
   // ---- Nodes ------------------------------------------------------------------------------------
 
-  void CarryOut(Node* node) {
+  void DispatchOutput(Node* node) {
     node::NodeOutput output = node->server->TakeOutput();
     for (query::LeafRequest& request : output.sends) {
       SendToLeaf(node, std::move(request));
@@ -223,7 +223,7 @@
       if (node->next_tick == wake) {
         node->next_tick = Timestamp{};
         node->server->Tick(clock_.now());
-        CarryOut(node);
+        DispatchOutput(node);
       }
     });
   }
@@ -268,7 +268,7 @@
   void Reply(Node* node, const query::LeafReply& reply) {
     --node->connections[reply.leaf].second;
     node->server->OnLeafReply(clock_.now(), reply);
-    CarryOut(node);
+    DispatchOutput(node);
   }
 
   void Pump(Leaf* leaf) {
--- a/src/common/log.cc
+++ b/src/common/log.cc
@@ -63,7 +63,7 @@
   return true;
 }
 
-uint64_t LogLimiter::TakeLeftOut() {
+uint64_t LogLimiter::TakeSuppressed() {
   const uint64_t suppressed = suppressed_;
   suppressed_ = 0;
   return suppressed;
--- a/src/common/log.h
+++ b/src/common/log.h
@@ -35,7 +35,7 @@
   /// @param now_seconds whole seconds of any clock. @return whether one more line may be written.
   bool Allow(int64_t now_seconds);
   /// Returns the number of lines suppressed since the last call, and resets it.
-  uint64_t TakeLeftOut();
+  uint64_t TakeSuppressed();
 
  private:
   uint32_t limit_;
--- a/src/common/recent_durations.cc
+++ b/src/common/recent_durations.cc
@@ -35,7 +35,7 @@
   weight_ = weight_ * decay_ + 1;
 }
 
-double RecentDurations::ShareWithin(Duration limit) const {
+double RecentDurations::ShareUpTo(Duration limit) const {
   if (weight_ <= 0 || limit.count() < 0) {
     return 0;
   }
--- a/src/common/recent_durations.h
+++ b/src/common/recent_durations.h
@@ -23,7 +23,7 @@
 
   /// @return the weighted share of durations that are at most `limit`, interpolated linearly within
   /// a bucket. Zero if there are none or the limit is negative.
-  double ShareWithin(Duration limit) const;
+  double ShareUpTo(Duration limit) const;
 
   /// @param quantile 0 to 1. @return zero if there are no durations.
   Duration Quantile(double quantile) const;
--- a/src/common/region_map.h
+++ b/src/common/region_map.h
@@ -19,7 +19,7 @@
     const auto it = region_of_.find(zone);
     return it == region_of_.end() ? std::string() : it->second;
   }
-  bool Knows(const std::string& zone) const { return region_of_.contains(zone); }
+  bool Contains(const std::string& zone) const { return region_of_.contains(zone); }
   bool empty() const { return region_of_.empty(); }
 
  private:
--- a/src/config/config_state.cc
+++ b/src/config/config_state.cc
@@ -141,10 +141,10 @@
                      [&id](const auto& item) { return item.second.leafs.contains(id); });
 }
 
-bool ConfigState::IsSettled(const Change& change) const {
+bool ConfigState::HasNoEffect(const Change& change) const {
   const auto is_known = [this](const ReportedLeaf& leaf) {
     const auto it = reported_.find(leaf.id);
-    return IsRetired(leaf.id, leaf.born_ms) || IsFormerLife(leaf.id, leaf.born_ms) ||
+    return IsRetired(leaf.id, leaf.born_ms) || IsPreviousIncarnation(leaf.id, leaf.born_ms) ||
            (it != reported_.end() && it->second == leaf);
   };
   if (change.kind == ChangeKind::kReportLeafs) {
@@ -166,8 +166,8 @@
     return IsQuarantined(change.request);
   }
   if (change.kind == ChangeKind::kReleaseRequest) {
-    return change.on_parole ? !IsQuarantined(change.request)
-                            : !quarantine_.contains(change.request);
+    return change.conditional ? !IsQuarantined(change.request)
+                              : !quarantine_.contains(change.request);
   }
   return change.kind == ChangeKind::kPutDocument && change.document.version <= document_.version;
 }
@@ -178,7 +178,7 @@
          it->second.born_ms == leaf.born_ms;
 }
 
-bool ConfigState::IsFormerLife(const std::string& leaf, uint64_t born_ms) const {
+bool ConfigState::IsPreviousIncarnation(const std::string& leaf, uint64_t born_ms) const {
   const auto it = reported_.find(leaf);
   const auto retired = retired_.find(leaf);
   return (it != reported_.end() && born_ms < it->second.born_ms) ||
@@ -192,7 +192,7 @@
 }
 
 void ConfigState::Report(const ReportedLeaf& leaf) {
-  if (!IsRetired(leaf.id, leaf.born_ms) && !IsFormerLife(leaf.id, leaf.born_ms)) {
+  if (!IsRetired(leaf.id, leaf.born_ms) && !IsPreviousIncarnation(leaf.id, leaf.born_ms)) {
     reported_[leaf.id] = leaf;
   }
 }
@@ -219,20 +219,20 @@
   record.stopped = true;
   ++record.times;
   if (quarantine_.size() > kMaxQuarantined) {
-    const auto on_parole = std::find_if(quarantine_.begin(), quarantine_.end(),
-                                        [](const auto& item) { return !item.second.stopped; });
-    if (on_parole != quarantine_.end()) {
-      quarantine_.erase(on_parole);
+    const auto conditional = std::find_if(quarantine_.begin(), quarantine_.end(),
+                                          [](const auto& item) { return !item.second.stopped; });
+    if (conditional != quarantine_.end()) {
+      quarantine_.erase(conditional);
     }
   }
 }
 
-void ConfigState::Release(const RequestIdentity& request, bool on_parole) {
+void ConfigState::Release(const RequestIdentity& request, bool conditional) {
   const auto it = quarantine_.find(request);
   if (it == quarantine_.end()) {
     return;
   }
-  if (on_parole) {
+  if (conditional) {
     it->second.stopped = false;
   } else {
     quarantine_.erase(it);
@@ -306,7 +306,7 @@
       Quarantine(change.request);
       break;
     case ChangeKind::kReleaseRequest:
-      Release(change.request, change.on_parole);
+      Release(change.request, change.conditional);
       break;
     case ChangeKind::kPutTenants:
       tenants_ = {tenants_.revision + 1, change.tenants};
--- a/src/config/config_state.h
+++ b/src/config/config_state.h
@@ -38,7 +38,7 @@
     return it != retired_.end() && born_ms <= it->second;
   }
   /// Whether a later incarnation of the leaf is committed or has retired.
-  bool IsFormerLife(const std::string& leaf, uint64_t born_ms) const;
+  bool IsPreviousIncarnation(const std::string& leaf, uint64_t born_ms) const;
   const RouteDocument& document() const { return document_; }
   /// Leafs that report by heartbeats and have neither retired nor timed out, by id.
   const std::map<std::string, ReportedLeaf>& reported() const { return reported_; }
@@ -68,7 +68,7 @@
 
   /// Whether applying `change` would have no effect, for instance an older document, a leaf that
   /// has already retired, or leafs that are already known.
-  bool IsSettled(const Change& change) const;
+  bool HasNoEffect(const Change& change) const;
 
   /// Applies a valid change and increments the version.
   void Apply(const Change& change);
@@ -83,7 +83,7 @@
   void Retire(const std::string& leaf, uint64_t born_ms);
   void Report(const ReportedLeaf& leaf);
   void Quarantine(const RequestIdentity& request);
-  void Release(const RequestIdentity& request, bool on_parole);
+  void Release(const RequestIdentity& request, bool conditional);
   /// Whether this incarnation of the leaf is committed with the same reporter. Only that reporter
   /// may remove it.
   bool IsReportedBy(const ReportedLeaf& leaf) const;
--- a/src/config/model.cc
+++ b/src/config/model.cc
@@ -224,7 +224,7 @@
     if (!json["on_parole"].is_boolean()) {
       return FieldError("on_parole", "must be true or false");
     }
-    change->on_parole = json["on_parole"].get<bool>();
+    change->conditional = json["on_parole"].get<bool>();
   }
   return absl::OkStatus();
 }
@@ -355,7 +355,7 @@
       break;
     case ChangeKind::kReleaseRequest:
       json["request"] = ToText(change.request);
-      json["on_parole"] = change.on_parole;
+      json["on_parole"] = change.conditional;
       break;
     case ChangeKind::kPutTenants:
       json["tenants"] = TenantsJson(change.tenants);
--- a/src/config/model.h
+++ b/src/config/model.h
@@ -152,7 +152,7 @@
   /// The request of kQuarantineRequest and kReleaseRequest.
   RequestIdentity request;
   /// kReleaseRequest: releases the request conditionally, and keeps the record that it was stopped.
-  bool on_parole = false;
+  bool conditional = false;
   /// The leafs of kReportLeafs and kForgetLeafs. kForgetLeafs uses only id, start time and
   /// reporter.
   std::vector<ReportedLeaf> reported;
--- a/src/consensus/raft.cc
+++ b/src/consensus/raft.cc
@@ -79,7 +79,7 @@
   return it == progress_.end() ? 0 : it->second.match;
 }
 
-bool Raft::RecentlyHeard(MemberId id, Timestamp now) const {
+bool Raft::RecentlyContacted(MemberId id, Timestamp now) const {
   if (id == self_) {
     return true;
   }
@@ -87,7 +87,7 @@
   return it != progress_.end() && now - it->second.last_contact < options_.election_timeout;
 }
 
-bool Raft::HeardSince(MemberId id, Timestamp since) const {
+bool Raft::AcknowledgedSince(MemberId id, Timestamp since) const {
   const auto it = progress_.find(id);
   return id == self_ || (it != progress_.end() && it->second.acknowledged >= since);
 }
@@ -319,6 +319,8 @@
   pending_reads_ = std::move(still_pending);
 }
 
-std::vector<Raft::ReadReady> Raft::TakeReads() { return std::exchange(ready_reads_, {}); }
+std::vector<Raft::CompletedRead> Raft::TakeCompletedReads() {
+  return std::exchange(ready_reads_, {});
+}
 
 }  // namespace pumicedyke::consensus
--- a/src/consensus/raft.h
+++ b/src/consensus/raft.h
@@ -78,15 +78,15 @@
   /// Transfers leadership to the reachable voter with the longest log.
   void TransferLeadership(Timestamp now);
 
-  /// Starts a linearizable read, which TakeReads() returns once it is ready. A read is dropped if
-  /// the leader is lost, so the caller must retry.
+  /// Starts a linearizable read, which TakeCompletedReads() returns once it is ready. A read is
+  /// dropped if the leader is lost, so the caller must retry.
   void RequestRead(Timestamp now, uint64_t ticket);
-  struct ReadReady {
+  struct CompletedRead {
     uint64_t ticket;
     /// The state machine must have applied this index before the read is answered.
     uint64_t index;
   };
-  std::vector<ReadReady> TakeReads();
+  std::vector<CompletedRead> TakeCompletedReads();
 
   /// True while no other leader can have been elected; check again after a read, before replying.
   bool HasLease(Timestamp now) const;
@@ -95,7 +95,7 @@
   /// all that any process can have been told is committed by then is committed here. A majority
   /// proves it, not a leader's lease, so it holds regardless of message delays, partitions and
   /// paused processes. @return nullopt before the first proof.
-  std::optional<Timestamp> ProvenAt(Timestamp now) const;
+  std::optional<Timestamp> ProvenCurrentAt(Timestamp now) const;
 
   /// Replaces the log up to `index` by `state`, the state machine's image at that index.
   absl::Status Compact(uint64_t index, std::string state);
@@ -120,9 +120,9 @@
   /// Leader: last index known to be synced at a member.
   uint64_t MatchIndex(MemberId id) const;
   /// Leader: whether the member has acknowledged a message that was sent at `since` or later.
-  bool HeardSince(MemberId id, Timestamp since) const;
+  bool AcknowledgedSince(MemberId id, Timestamp since) const;
   /// Leader: whether the member has replied within the last election timeout.
-  bool RecentlyHeard(MemberId id, Timestamp now) const;
+  bool RecentlyContacted(MemberId id, Timestamp now) const;
 
  private:
   struct Progress {
@@ -251,7 +251,7 @@
   std::optional<Timestamp> proven_at_;
   std::optional<PendingProof> pending_proof_;
   std::vector<PendingRead> pending_reads_;
-  std::vector<ReadReady> ready_reads_;
+  std::vector<CompletedRead> ready_reads_;
   RaftOutput output_;
   absl::Status failure_;
 };
--- a/src/consensus/raft_election.cc
+++ b/src/consensus/raft_election.cc
@@ -258,7 +258,7 @@
   }
   MemberId best = 0;
   for (MemberId id : OtherMembers(true)) {
-    if (RecentlyHeard(id, now) && (best == 0 || MatchIndex(id) > MatchIndex(best))) {
+    if (RecentlyContacted(id, now) && (best == 0 || MatchIndex(id) > MatchIndex(best))) {
       best = id;
     }
   }
--- a/src/consensus/raft_proof.cc
+++ b/src/consensus/raft_proof.cc
@@ -26,7 +26,7 @@
   return confirmed == Timestamp{} ? std::nullopt : std::optional(confirmed);
 }
 
-std::optional<Timestamp> Raft::ProvenAt(Timestamp now) const {
+std::optional<Timestamp> Raft::ProvenCurrentAt(Timestamp now) const {
   if (role_ != Role::kLeader) {
     return options_.proof_check && options_.lease_check ? proven_at_ : last_leader_contact_;
   }
--- a/src/consensus/raft_replication.cc
+++ b/src/consensus/raft_replication.cc
@@ -94,7 +94,7 @@
   // A member that does not reply gets heartbeats without entries; its first reply starts the
   // replication. Otherwise entries to a partitioned member would queue up and arrive all at once
   // when the partition heals.
-  const bool may_carry_entries = !progress.probing || (heartbeat && RecentlyHeard(id, now));
+  const bool may_carry_entries = !progress.probing || (heartbeat && RecentlyContacted(id, now));
   size_t bytes = 0;
   for (uint64_t index = progress.next; may_carry_entries && index <= last_index(); ++index) {
     const LogEntry& entry = EntryAt(index);
--- a/src/control/control_commands.cc
+++ b/src/control/control_commands.cc
@@ -208,7 +208,7 @@
   // Acknowledges only with a quorum: a machine without one may be the only one that knows the
   // report, so the sender must report to others, too.
   if (report.number != 0 && IsCurrent(now)) {
-    output_.sessions.push_back({session, Wrap(wire::RunReportTaken{report.number})});
+    output_.sessions.push_back({session, Wrap(wire::RunReportAck{report.number})});
   }
 }
 
--- a/src/control/control_replicas.cc
+++ b/src/control/control_replicas.cc
@@ -27,7 +27,7 @@
   }
 }
 
-void ControlServer::LearnSeeds(const std::vector<std::string>& addresses) {
+void ControlServer::AddSeeds(const std::vector<std::string>& addresses) {
   for (const std::string& address : addresses) {
     const auto known = std::find(options_.seeds.begin(), options_.seeds.end(), address);
     if (known == options_.seeds.end()) {
@@ -76,7 +76,7 @@
 }
 
 bool ControlServer::CaughtUp(MemberId id, Timestamp now) const {
-  return raft_.RecentlyHeard(id, now) && raft_.MatchIndex(id) >= raft_.commit_index();
+  return raft_.RecentlyContacted(id, now) && raft_.MatchIndex(id) >= raft_.commit_index();
 }
 
 size_t ControlServer::WantedVoters() const {
@@ -93,7 +93,7 @@
     return;
   }
   for (const wire::Member& member : raft_.members()) {
-    const bool in_contact = member.id == raft_.self() || raft_.RecentlyHeard(member.id, now);
+    const bool in_contact = member.id == raft_.self() || raft_.RecentlyContacted(member.id, now);
     if (in_contact || !member_last_contact_.contains(member.id)) {
       member_last_contact_[member.id] = now;
     }
@@ -173,8 +173,8 @@
   size_t voters = 0;
   for (const wire::Member& member : raft_.members()) {
     // Contact before the status call proves nothing about a machine lost since.
-    const bool holds_all =
-        raft_.HeardSince(member.id, asked) && raft_.MatchIndex(member.id) >= raft_.commit_index();
+    const bool holds_all = raft_.AcknowledgedSince(member.id, asked) &&
+                           raft_.MatchIndex(member.id) >= raft_.commit_index();
     if (!member.voter || (!holds_all && options_.catch_up_before_vote)) {
       return false;
     }
@@ -186,7 +186,8 @@
 std::vector<ReplicaStatus> ControlServer::Replicas(Timestamp now) const {
   std::vector<ReplicaStatus> replicas;
   for (const wire::Member& member : raft_.members()) {
-    replicas.push_back({member, raft_.MatchIndex(member.id), raft_.RecentlyHeard(member.id, now)});
+    replicas.push_back(
+        {member, raft_.MatchIndex(member.id), raft_.RecentlyContacted(member.id, now)});
   }
   return replicas;
 }
--- a/src/control/control_server.cc
+++ b/src/control/control_server.cc
@@ -193,7 +193,7 @@
 }
 
 void ControlServer::AnswerReads(Timestamp now) {
-  for (const consensus::Raft::ReadReady& ready : raft_.TakeReads()) {
+  for (const consensus::Raft::CompletedRead& ready : raft_.TakeCompletedReads()) {
     reads_at_index_.emplace(ready.index, ready.ticket);
   }
   while (!reads_at_index_.empty() && reads_at_index_.begin()->first <= applied_index_) {
@@ -227,7 +227,7 @@
   if (raft_.role() == consensus::Role::kLeader) {
     return raft_.HasLease(now);
   }
-  const std::optional<Timestamp> proven = raft_.ProvenAt(now);
+  const std::optional<Timestamp> proven = raft_.ProvenCurrentAt(now);
   return raft_.leader() != 0 && proven.has_value() &&
          now - *proven < 2 * options_.raft.election_timeout;
 }
@@ -292,7 +292,7 @@
   const uint64_t version = state_.config().version().value;
   wire::ConfigFeed feed;
   feed.version = version;
-  if (const std::optional<Timestamp> proven = raft_.ProvenAt(now); proven.has_value()) {
+  if (const std::optional<Timestamp> proven = raft_.ProvenCurrentAt(now); proven.has_value()) {
     feed.echo = hello_sent;
     feed.proof_age = now - *proven;
   }
--- a/src/control/control_server.h
+++ b/src/control/control_server.h
@@ -137,7 +137,7 @@
   std::vector<ReplicaStatus> Replicas(Timestamp now) const;
 
   /// Adds machines to send join requests to and to search for unknown members.
-  void LearnSeeds(const std::vector<std::string>& addresses);
+  void AddSeeds(const std::vector<std::string>& addresses);
 
   const ControlState& state() const { return state_; }
   const consensus::Raft& raft() const { return raft_; }
--- a/src/control/control_state.cc
+++ b/src/control/control_state.cc
@@ -41,7 +41,7 @@
 
 config::ChangeResult ControlState::ApplyChange(const config::Change& change) {
   if (config::IsIdempotent(change.kind)) {
-    if (config_.IsSettled(change)) {
+    if (config_.HasNoEffect(change)) {
       return {0, "was in force already", config_.version().value, config_.RevisionOf(change)};
     }
     return Decide(change);
--- a/src/control/dialect.h
+++ b/src/control/dialect.h
@@ -33,15 +33,15 @@
 };
 /// A client requests the addresses of gateways.
 struct FindGateways {
-  directory::ClientPlace client;
+  directory::ClientLocation client;
 };
 /// An operator evacuates a zone, so that nothing more is sent to its leafs, or restores it.
-struct OrderZone {
+struct SetZoneEvacuation {
   std::string zone;
   bool evacuated = false;
 };
 using Command =
-    std::variant<PutDocument, GetDocument, ReportLeaf, RetireLeaf, FindGateways, OrderZone>;
+    std::variant<PutDocument, GetDocument, ReportLeaf, RetireLeaf, FindGateways, SetZoneEvacuation>;
 
 class Dialect {
  public:
--- a/src/control/discovery_server.cc
+++ b/src/control/discovery_server.cc
@@ -8,16 +8,16 @@
 void DiscoveryServer::Tick(Timestamp now, bool current) {
   current_ = current;
   if (!current) {
-    registry_.ForgiveSilence(now);
+    registry_.ResetSilence(now);
   }
   registry_.DropSilent(now);
   directory_.DropSilent(now);
   FeedAll(now);
 }
 
-registry::ReportVerdict DiscoveryServer::OnLeafReport(Timestamp now,
-                                                      const registry::LeafReport& report,
-                                                      const std::string* elsewhere) {
+registry::ReportResult DiscoveryServer::OnLeafReport(Timestamp now,
+                                                     const registry::LeafReport& report,
+                                                     const std::string* elsewhere) {
   return registry_.OnReport(now, report, elsewhere);
 }
 
--- a/src/control/discovery_server.h
+++ b/src/control/discovery_server.h
@@ -38,8 +38,8 @@
   /// Handles a heartbeat of a leaf. Draining must have been committed before, so that every
   /// receiver of the change may rely on it.
   /// @param elsewhere as for LeafRegistry::OnReport().
-  registry::ReportVerdict OnLeafReport(Timestamp now, const registry::LeafReport& report,
-                                       const std::string* elsewhere = nullptr);
+  registry::ReportResult OnLeafReport(Timestamp now, const registry::LeafReport& report,
+                                      const std::string* elsewhere = nullptr);
   /// Handles the committed retirement of a leaf.
   void OnLeafRetired(Timestamp now, const std::string& leaf, uint64_t born_ms = 0);
 
@@ -50,7 +50,8 @@
   void SetControlAddresses(std::vector<std::string> addresses);
 
   /// Returns gateway addresses for a client, best first. Empty: no gateway is known.
-  std::vector<std::string> GatewaysFor(Timestamp now, const directory::ClientPlace& client) const {
+  std::vector<std::string> GatewaysFor(Timestamp now,
+                                       const directory::ClientLocation& client) const {
     return directory_.AddressesFor(now, client);
   }
 
--- a/src/control/leaf_committer.cc
+++ b/src/control/leaf_committer.cc
@@ -13,7 +13,7 @@
   if (now - proposed_ < wait) {
     return std::nullopt;
   }
-  std::set<std::string> reporting = registry->TakeHeard();
+  std::set<std::string> reporting = registry->TakeReported();
   removed_.merge(registry->TakeRemoved());
   if (!checked_registry_) {
     checked_registry_ = true;
--- a/src/control/quarantine_manager.cc
+++ b/src/control/quarantine_manager.cc
@@ -34,7 +34,7 @@
   std::erase_if(stopped_since_, [&](const auto& item) {
     const bool released = !committed.IsQuarantined(item.first);
     if (released) {
-      evidence_.Acquit(item.first);
+      evidence_.Clear(item.first);
     }
     return released;
   });
@@ -74,8 +74,8 @@
       QuarantineProposal proposal;
       proposal.change.kind = config::ChangeKind::kReleaseRequest;
       proposal.change.request = identity;
-      proposal.change.on_parole = !succeeded;
-      proposal.verdict.identity = identity;
+      proposal.change.conditional = !succeeded;
+      proposal.finding.identity = identity;
       proposal.reason = succeeded ? "succeeded" : "held_long_enough";
       return proposal;
     }
@@ -96,18 +96,18 @@
   const Duration settle = leads ? options_.settle : options_.follower_settle;
   std::map<RequestIdentity, Timestamp> confirmed_since;
   std::optional<QuarantineProposal> proposal;
-  for (const quarantine::Verdict& verdict : evidence_.Guilty(quarantined_before)) {
-    if (committed.IsQuarantined(verdict.identity)) {
+  for (const quarantine::CrashFinding& finding : evidence_.FatalRequests(quarantined_before)) {
+    if (committed.IsQuarantined(finding.identity)) {
       continue;
     }
-    const auto before = confirmed_since_.find(verdict.identity);
+    const auto before = confirmed_since_.find(finding.identity);
     const Timestamp since = before == confirmed_since_.end() ? now : before->second;
-    confirmed_since[verdict.identity] = since;
+    confirmed_since[finding.identity] = since;
     if (!proposal.has_value() && now - since >= settle) {
       proposal.emplace();
       proposal->change.kind = config::ChangeKind::kQuarantineRequest;
-      proposal->change.request = verdict.identity;
-      proposal->verdict = verdict;
+      proposal->change.request = finding.identity;
+      proposal->finding = finding;
       proposal->reason = "ends_leafs";
     }
   }
--- a/src/control/quarantine_manager.h
+++ b/src/control/quarantine_manager.h
@@ -43,7 +43,7 @@
 /// A change to propose, with the reason for the log.
 struct QuarantineProposal {
   config::Change change;
-  quarantine::Verdict verdict;
+  quarantine::CrashFinding finding;
   const char* reason = "";
 };
 
--- a/src/directory/gateway_directory.cc
+++ b/src/directory/gateway_directory.cc
@@ -92,15 +92,15 @@
   for (auto it = removals_.rbegin(); !all && it != removals_.rend() && it->version > version;
        ++it) {
     if (!IsReachablePeer(it->node)) {
-      feed.gone.push_back(it->node);
+      feed.removed.push_back(it->node);
     }
   }
   return feed;
 }
 
 std::vector<std::string> GatewayDirectory::AddressesFor(Timestamp now,
-                                                        const ClientPlace& client) const {
-  std::vector<GatewayPlace> gateways;
+                                                        const ClientLocation& client) const {
+  std::vector<GatewayLocation> gateways;
   for (const auto& [node, entry] : gateways_) {
     if (entry.presence.serving && now - entry.last_heartbeat < options_.silence_limit) {
       const std::string& zone = entry.presence.zone;
--- a/src/directory/gateway_directory.h
+++ b/src/directory/gateway_directory.h
@@ -37,7 +37,7 @@
   bool OnLost(const std::string& node, uint64_t incarnation);
 
   /// Returns addresses for a client, the best first (near_first.h).
-  std::vector<std::string> AddressesFor(Timestamp now, const ClientPlace& client) const;
+  std::vector<std::string> AddressesFor(Timestamp now, const ClientLocation& client) const;
   /// Number of known gateways, serving or not.
   size_t size() const { return gateways_.size(); }
   /// Drops gateways that have been silent for `silence_limit`.
--- a/src/directory/near_first.cc
+++ b/src/directory/near_first.cc
@@ -5,7 +5,7 @@
 
 enum class Distance { kSameZone, kSameRegion, kElsewhere };
 
-Distance DistanceOf(const GatewayPlace& gateway, const ClientPlace& client) {
+Distance DistanceOf(const GatewayLocation& gateway, const ClientLocation& client) {
   if (gateway.zone == client.zone) {
     return Distance::kSameZone;
   }
@@ -14,15 +14,15 @@
 
 }  // namespace
 
-std::vector<std::string> NearFirst(const std::vector<GatewayPlace>& gateways,
-                                   const ClientPlace& client, size_t max_addresses) {
+std::vector<std::string> NearFirst(const std::vector<GatewayLocation>& gateways,
+                                   const ClientLocation& client, size_t max_addresses) {
   std::vector<std::string> addresses;
   for (const Distance distance :
        {Distance::kSameZone, Distance::kSameRegion, Distance::kElsewhere}) {
     if (distance == Distance::kElsewhere && !addresses.empty()) {
       break;
     }
-    for (const GatewayPlace& gateway : gateways) {
+    for (const GatewayLocation& gateway : gateways) {
       if (DistanceOf(gateway, client) == distance && addresses.size() < max_addresses) {
         addresses.push_back(gateway.address);
       }
--- a/src/directory/near_first.h
+++ b/src/directory/near_first.h
@@ -8,14 +8,14 @@
 namespace pumicedyke::directory {
 
 /// A gateway that clients may use.
-struct GatewayPlace {
+struct GatewayLocation {
   std::string address;
   std::string zone;
   std::string region;
 };
 
 /// The location of a client; empty if unknown.
-struct ClientPlace {
+struct ClientLocation {
   std::string zone;
   std::string region;
 };
@@ -26,7 +26,8 @@
 /// Returns up to `max_addresses` addresses for a client: gateways of its zone first, then those of
 /// its region. Other gateways are listed only if there are none of these, because some requests
 /// must not leave their regions.
-std::vector<std::string> NearFirst(const std::vector<GatewayPlace>& gateways,
-                                   const ClientPlace& client, size_t max_addresses = kMaxAddresses);
+std::vector<std::string> NearFirst(const std::vector<GatewayLocation>& gateways,
+                                   const ClientLocation& client,
+                                   size_t max_addresses = kMaxAddresses);
 
 }  // namespace pumicedyke::directory
--- a/src/gateway/dialect.h
+++ b/src/gateway/dialect.h
@@ -30,8 +30,8 @@
                                          http::ClientResponse response) const = 0;
 
   /// Returns whether the request asks which gateways a client may use.
-  virtual bool IsDirectoryQuestion(const http::HttpRequest& request) const = 0;
-  virtual directory::ClientPlace ClientOf(const http::HttpRequest& request) const = 0;
+  virtual bool IsDirectoryRequest(const http::HttpRequest& request) const = 0;
+  virtual directory::ClientLocation ClientOf(const http::HttpRequest& request) const = 0;
   virtual http::HttpResponse WriteGateways(const std::vector<std::string>& addresses,
                                            Duration time_to_live) const = 0;
   /// Returns whether the request asks if this gateway is ready.
--- a/src/gateway/gateway_control.cc
+++ b/src/gateway/gateway_control.cc
@@ -24,7 +24,7 @@
   }
 }
 
-void GatewayServer::LearnControl(const std::vector<std::string>& addresses) {
+void GatewayServer::AddControlMachines(const std::vector<std::string>& addresses) {
   for (const std::string& address : addresses) {
     AddControl(address);
   }
@@ -108,7 +108,7 @@
                          now - *link.current_since >= options_.knobs.control_settle_time;
     if (link.near && link.up && settled && now >= link.avoided_until) {
       near_control_ = control_[i];
-      subscriber_.TurnTo(now, i);
+      subscriber_.SwitchTo(now, i);
       return;
     }
   }
@@ -124,9 +124,9 @@
   } else if (const auto* leafs = std::get_if<wire::LeafFeed>(&envelope.body)) {
     OnLeafFeed(now, address, *leafs);
   } else if (const auto* notice = std::get_if<wire::SuspectNotice>(&envelope.body)) {
-    run_tracker_.OnWarned(now, notice->requests);
-  } else if (const auto* taken = std::get_if<wire::RunReportTaken>(&envelope.body)) {
-    reports_.OnTaken(taken->number);
+    run_tracker_.OnSuspectNotice(now, notice->requests);
+  } else if (const auto* ack = std::get_if<wire::RunReportAck>(&envelope.body)) {
+    reports_.OnAcknowledged(ack->number);
     ReportRuns(now);
   } else if (const auto* peers = std::get_if<wire::GatewayFeed>(&envelope.body)) {
     const uint64_t changes = peers_.changes();
@@ -175,7 +175,7 @@
   links_[address].last_contact = now;
   SetLink(address, /*up=*/true);
   gateways_ = std::max(1U, feed.gateways);
-  LearnControl(feed.control);
+  AddControlMachines(feed.control);
   ControlLink& link = links_[address];
   link.near = !feed.zone.empty() && feed.zone == options_.zone;
   link.current_since =
@@ -248,7 +248,7 @@
     const std::vector<query::ShardRange> ranges = CutIntoGroups(route.shards.size(), groups);
     for (size_t i = 0; i < ranges.size(); ++i) {
       const GroupPlace place = PlaceOf(route.shards, ranges, i);
-      const size_t co_owners = owners_.CoOwnerCount(place, route.homes);
+      const size_t co_owners = owners_.CoOwnerCount(place, route.allowed_regions);
       for (const std::string& shard : place.shards) {
         const double share = co_owners == 0 ? 0.0 : 1.0 / static_cast<double>(co_owners);
         const auto [it, inserted] = shares.emplace(shard, share);
@@ -302,7 +302,7 @@
   pool_.SetCold(now, limits);
 }
 
-std::vector<std::string> GatewayServer::GatewaysFor(const directory::ClientPlace& client) const {
+std::vector<std::string> GatewayServer::GatewaysFor(const directory::ClientLocation& client) const {
   std::vector<std::string> addresses = peers_.AddressesFor(client, options_.regions);
   const auto self = std::find(addresses.begin(), addresses.end(), options_.address);
   if (!ready() && self != addresses.end()) {
--- a/src/gateway/gateway_entry.cc
+++ b/src/gateway/gateway_entry.cc
@@ -89,16 +89,16 @@
     return;
   }
   const admission::EntryDecision entry =
-      gate_.Enter(now, id, *table_, *route, request->api_key, KeysProvenAt());
-  switch (entry.verdict) {
-    case admission::EntryVerdict::kAdmitted:
+      gate_.Admit(now, id, *table_, *route, request->api_key, KeysProvenAt());
+  switch (entry.result) {
+    case admission::EntryResult::kAdmitted:
       StartExecution(now, id, *route, std::move(request), entry.tenant, arrived);
       break;
-    case admission::EntryVerdict::kWaiting:
+    case admission::EntryResult::kWaiting:
       held_[id] = {std::move(request), arrived};
       ApplyLimitOutput(now);
       break;
-    case admission::EntryVerdict::kRefused:
+    case admission::EntryResult::kRefused:
       Refuse(now, id, std::move(request), entry.code, entry.retry_after);
       break;
   }
@@ -132,11 +132,11 @@
 
 void GatewayServer::ApplyLimitOutput(Timestamp now) {
   limits::LimitOutput out = gate_.limits().TakeOutput();
-  for (limits::LimitQuestion& request : out.questions) {
+  for (limits::OutgoingLimitRequest& request : out.requests) {
     output_.peer_messages.push_back(
         {request.address, {options_.cluster, document_version(), std::move(request.ask)}});
   }
-  for (limits::LimitWord& reply : out.words) {
+  for (limits::OutgoingLimitGrant& reply : out.grants) {
     output_.peer_replies.push_back(
         {reply.session, {options_.cluster, document_version(), std::move(reply.grant)}});
   }
@@ -164,7 +164,7 @@
   gate_.limits().SetGateways(now, gateways);
 }
 
-void GatewayServer::OnClientGone(Timestamp now, RequestId id) {
+void GatewayServer::OnClientDisconnected(Timestamp now, RequestId id) {
   early_.erase(id);
   if (held_.erase(id) > 0) {
     gate_.limits().Withdraw(now, id);
--- a/src/gateway/gateway_merging.cc
+++ b/src/gateway/gateway_merging.cc
@@ -23,8 +23,8 @@
   return request;
 }
 
-std::vector<wire::PartialGap> GapsOf(const std::vector<query::MissingShard>& missing) {
-  std::vector<wire::PartialGap> gaps;
+std::vector<wire::MissingShard> GapsOf(const std::vector<query::MissingShard>& missing) {
+  std::vector<wire::MissingShard> gaps;
   gaps.reserve(missing.size());
   for (const query::MissingShard& shard : missing) {
     gaps.push_back({static_cast<uint32_t>(shard.shard.value), static_cast<uint32_t>(shard.reason)});
@@ -47,8 +47,8 @@
       {session, {options_.cluster, document_version(), std::move(reply)}, priority});
 }
 
-void GatewayServer::OnPeerQuestion(Timestamp now, PeerSessionId session,
-                                   const wire::Envelope& envelope, Timestamp arrived) {
+void GatewayServer::OnPeerRequest(Timestamp now, PeerSessionId session,
+                                  const wire::Envelope& envelope, Timestamp arrived) {
   if (envelope.cluster != options_.cluster) {
     return;
   }
@@ -58,8 +58,8 @@
     OnPartialCancel(now, session, *cancel);
   } else if (const auto* confirm = std::get_if<wire::PartialConfirm>(&envelope.body)) {
     OnPartialConfirm(now, session, *confirm);
-  } else if (const auto* ask = std::get_if<wire::LimitAsk>(&envelope.body)) {
-    gate_.limits().OnAsk(now, session, *ask, subscriber_.proven_at());
+  } else if (const auto* ask = std::get_if<wire::LimitRequest>(&envelope.body)) {
+    gate_.limits().OnLimitRequest(now, session, *ask, subscriber_.proven_at());
     ApplyLimitOutput(now);
   }
 }
@@ -84,12 +84,12 @@
 
 size_t GatewayServer::CoOwnersOf(const GroupOfRoute& group) {
   return owners_.CoOwnerCount(PlaceOf(group.route->shards, group.ranges, group.index),
-                              group.route->homes);
+                              group.route->allowed_regions);
 }
 
-size_t GatewayServer::MayMissOf(const GroupOfRoute& group, const std::string& request_id) {
-  return query::MayMiss(group.route->shards.size(), group.route->min_coverage, group.ranges.size(),
-                        group.index, request_id);
+size_t GatewayServer::MaxMissingOf(const GroupOfRoute& group, const std::string& request_id) {
+  return query::MaxMissing(group.route->shards.size(), group.route->min_coverage,
+                           group.ranges.size(), group.index, request_id);
 }
 
 void GatewayServer::OnPartialQuery(Timestamp now, PeerSessionId session,
@@ -104,7 +104,7 @@
     return;
   }
   SendPartialAnswer(session, EmptyPartialAnswer(query.id, wire::PartialStage::kAccepted), priority);
-  if (query.stand_by) {
+  if (query.await_confirmation) {
     std::erase_if(stand_by_, [now](const auto& item) {
       return now >= item.second.arrived + item.second.query.budget;
     });
@@ -134,14 +134,15 @@
                               .unreported = {},
                               .unreported_gaps = {}};
   MergeIfLeafsMissing(now, query.shards);
-  const std::set<std::string> allowed_regions(query.homes.begin(), query.homes.end());
+  const std::set<std::string> allowed_regions(query.allowed_regions.begin(),
+                                              query.allowed_regions.end());
   const Target& target = TargetOf(query.shards, allowed_regions);
   const std::optional<GroupOfRoute> group = FindGroup(query);
   const size_t co_owners = group.has_value() ? CoOwnersOf(*group) : 0;
   const double spare = options_.knobs.spare_gateways;
   const double allowance = co_owners == 0 ? NonMergerAllowance(/*shared=*/true)
                                           : options_.knobs.mergers_allowance_share *
-                                                options_.extra_load.allowance /
+                                                options_.extra_load.burst /
                                                 (static_cast<double>(co_owners) + spare);
   for (const std::string& shard : query.shards) {
     BudgetOf(shard, allowance);
@@ -161,13 +162,13 @@
   plan.hedge_quantile = options_.knobs.hedge_quantile;
   plan.max_attempts = std::max(1U, query.max_attempts);
   query::ExecutionOptions options = ExecutionOptionsFor(now, *active.request);
-  options.ask_refusing_again = true;
+  options.retry_refusing_leafs = true;
   options.rank = query::RankOf(query.request_id);
-  options.may_miss = group.has_value() ? MayMissOf(*group, query.request_id) : 0;
-  active.partial->may_miss = options.may_miss;
-  options.charge_first = query.again;
-  options.report_parts = true;
-  options.hold_attempts = plan.max_attempts > 1 && !query.stand_by;
+  options.max_missing = group.has_value() ? MaxMissingOf(*group, query.request_id) : 0;
+  active.partial->max_missing = options.max_missing;
+  options.charge_first = query.reassigned;
+  options.report_shard_results = true;
+  options.hold_attempts = plan.max_attempts > 1 && !query.await_confirmation;
   const config::PublishedSnapshot& snapshot = target.service->snapshots.back();
   query::CallerRequest caller;
   caller.service = query.route;
@@ -252,10 +253,10 @@
                                    const std::optional<query::Answer>& answer) {
   Active& active = active_.at(id);
   PartialJob& job = *active.partial;
-  for (query::ShardPayload& part : active.execution->TakeNewParts()) {
+  for (query::ShardPayload& part : active.execution->TakeNewShardResults()) {
     job.unreported.push_back(std::move(part));
   }
-  for (const query::MissingShard& gap : active.execution->TakeNewGaps()) {
+  for (const query::MissingShard& gap : active.execution->TakeNewMissingShards()) {
     job.unreported_gaps.push_back(gap);
     ++job.gaps;
   }
@@ -268,7 +269,7 @@
     output_.partials.push_back(
         {active.request->request_id, active.request->identity, job.route, active.tenant,
          answer->run, job.started - active.execution->started(), now - active.execution->started(),
-         answer->coverage.total(), answer->extra_sub_requests, answer->unpaid_shards,
+         answer->coverage.total(), answer->extra_sub_requests, answer->budget_denied_shards,
          active.execution->Attempts(), answer->coverage.missing});
     Remove(id);
     return;
@@ -277,19 +278,19 @@
       std::max(job.report_at, job.last_reply + options_.knobs.report_interval);
   const Timestamp progress_due = job.last_reply + options_.knobs.progress_interval;
   // The whole gather may fail because of this group, so the root has to learn of it early.
-  const bool gather_may_fail = !job.unreported_gaps.empty() && job.gaps > job.may_miss &&
+  const bool gather_may_fail = !job.unreported_gaps.empty() && job.gaps > job.max_missing &&
                                now >= job.last_reply + options_.knobs.report_interval;
   const bool report = gather_may_fail || (!job.unreported.empty() && now >= report_due);
   if (report || now >= progress_due) {
     SendPartialAnswer(job.session,
-                      report ? TakePartialAnswer(&job, wire::PartialStage::kParts)
+                      report ? TakePartialAnswer(&job, wire::PartialStage::kShardResults)
                              : EmptyPartialAnswer(job.query_id, wire::PartialStage::kAccepted),
                       active.priority);
     job.last_reply = now;
   }
   Timestamp wake =
       std::min(active.execution->NextWake(now), job.last_reply + options_.knobs.progress_interval);
-  if (!job.unreported_gaps.empty() && job.gaps > job.may_miss) {
+  if (!job.unreported_gaps.empty() && job.gaps > job.max_missing) {
     wake = std::min(wake, job.last_reply + options_.knobs.report_interval);
   }
   if (!job.unreported.empty() || job.report_at > now) {
--- a/src/gateway/gateway_quarantine.cc
+++ b/src/gateway/gateway_quarantine.cc
@@ -24,7 +24,7 @@
                                                            const PayloadRequest& request) const {
   query::ExecutionOptions options = options_.execution;
   options.on_probation = run_tracker_.IsSuspect(now, request.identity);
-  options.accused = run_tracker_.IsAccused(request.identity);
+  options.has_uncleared_losses = run_tracker_.HasUnclearedLosses(request.identity);
   return options;
 }
 
--- a/src/gateway/gateway_server.cc
+++ b/src/gateway/gateway_server.cc
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "gateway/record_merge.h"
-#include "routing/homes.h"
+#include "routing/allowed_regions.h"
 
 namespace pumicedyke::gateway {
 namespace {
@@ -67,19 +67,19 @@
                    .silence_limit = tenants::SilenceLimit(options_.entry.key_lease,
                                                           node::SubscriberOptions{}.silence_limit),
                    .starting_silence_limit = Milliseconds(200),
-                   .note_changed_leafs = true},
+                   .record_changed_leafs = true},
                   now),
       ids_(options_.incarnation),
       view_(options_.leaf_view, &subscriber_.config()),
       pool_(options_.knobs.balance, options_.incarnation),
       pool_updater_(options_.node, options_.zone, &pool_),
       owners_(options_.node, options_.zone, &view_, &peers_, &options_.regions),
-      run_tracker_(options_.knobs.witness),
+      run_tracker_(options_.knobs.run_tracker),
       reports_(ReporterOf(options_)),
       answer_lag_(InitialAnswerLag(options_)),
       gate_(options_.entry, options_.node, options_.incarnation),
       started_(now) {
-  LearnControl(options_.control);
+  AddControlMachines(options_.control);
 }
 
 GatewayServer::~GatewayServer() = default;
@@ -101,7 +101,7 @@
 
 double GatewayServer::NonMergerAllowance(bool shared) const {
   const double part = shared ? 1 - options_.knobs.mergers_allowance_share : 1.0;
-  return part * options_.extra_load.allowance / SharingGateways();
+  return part * options_.extra_load.burst / SharingGateways();
 }
 
 balance::ExtraLoadLimit* GatewayServer::BudgetOf(const std::string& service, double allowance) {
@@ -110,7 +110,7 @@
     budget = std::make_unique<balance::SlidingWindowBudget>(options_.extra_load.window,
                                                             options_.extra_load.ratio);
   }
-  budget->SetAllowance(allowance);
+  budget->SetBurst(allowance);
   return budget.get();
 }
 
@@ -231,7 +231,7 @@
 void GatewayServer::StartExecution(Timestamp now, RequestId id, const routing::Route& route,
                                    std::shared_ptr<const PayloadRequest> request,
                                    const tenants::Tenant* tenant, Timestamp arrived) {
-  std::optional<std::set<std::string>> allowed_regions = routing::HomesOf(route, tenant);
+  std::optional<std::set<std::string>> allowed_regions = routing::AllowedRegionsOf(route, tenant);
   if (!allowed_regions.has_value()) {
     Refuse(now, id, std::move(request), ResultCode::kCoverageNotReached, Duration(0));
     return;
@@ -240,7 +240,7 @@
   active.request = std::move(request);
   active.allowed_regions = *std::move(allowed_regions);
   if (!table_->set().keyed) {
-    active.head = HeadWithCaller(*active.request);
+    active.head = HeadWithCallerHeaders(*active.request);
   }
   if (tenant != nullptr) {
     active.tenant = tenant->name;
@@ -272,10 +272,10 @@
   query::ServiceContext context{&pool_, target.budgets.front(), active.runtime->latencies.get(),
                                 [this] { return SubRequestId{ids_.Next()}; }, target.budgets};
   query::ExecutionOptions options = ExecutionOptionsFor(now, *active.request);
-  options.ask_refusing_again = route.gathers();
+  options.retry_refusing_leafs = route.gathers();
   options.rank = query::RankOf(active.request->request_id);
-  options.may_miss = query::MayMiss(services.size(), route.min_coverage, /*groups=*/1,
-                                    /*group=*/0, active.request->request_id);
+  options.max_missing = query::MaxMissing(services.size(), route.min_coverage, /*groups=*/1,
+                                          /*group=*/0, active.request->request_id);
   active.execution = std::make_unique<query::RequestExecution>(
       std::move(caller), PlanFor(route, *active.request), nullptr, target.service, snapshot,
       std::move(context), options, arrived);
@@ -318,7 +318,7 @@
     out.keep_connection =
         active->merger_connections > 0 || pool_updater_.IsPreferred(record.service, send.leaf);
     if (active->merger_connections > 0) {
-      out.kept_connections =
+      out.retained_connections =
           std::min(options_.knobs.merger_retained_connections, active->merger_connections);
     }
     out.shard = send.shard;
@@ -378,7 +378,7 @@
   out.trace.config_age = subscriber_.Age(now);
   out.trace.elapsed = now - active.execution->started();
   out.trace.extra_sub_requests = answer.extra_sub_requests;
-  out.trace.unpaid_shards = answer.unpaid_shards;
+  out.trace.budget_denied_shards = answer.budget_denied_shards;
   out.trace.attempts = active.execution->Attempts();
   out.trace.missing = answer.coverage.missing;
   const bool success = answer.code == ResultCode::kOk || answer.code == ResultCode::kPartial;
--- a/src/gateway/gateway_server.h
+++ b/src/gateway/gateway_server.h
@@ -20,16 +20,16 @@
 #include "common/region_map.h"
 #include "directory/near_first.h"
 #include "gateway/group_owners.h"
+#include "gateway/leaf_pool_updater.h"
 #include "gateway/leaf_view.h"
 #include "gateway/merger_placement.h"
 #include "gateway/messages.h"
 #include "gateway/peer_view.h"
-#include "gateway/pool_keeper.h"
 #include "node/config_subscriber.h"
 #include "node/id_source.h"
 #include "quarantine/report_sender.h"
-#include "quarantine/run_witness.h"
-#include "query/answer_moment.h"
+#include "quarantine/run_tracker.h"
+#include "query/answer_timing.h"
 #include "query/request_execution.h"
 #include "query/shared_gather.h"
 #include "routing/route_table.h"
@@ -42,7 +42,7 @@
   /// Extra sub-requests per request to the service.
   double ratio = 0.1;
   /// Extra sub-requests beyond the ratio, shared by all gateways.
-  double allowance = 10;
+  double burst = 10;
 };
 
 struct GatewayKnobs {
@@ -107,7 +107,7 @@
   SharingCosts sharing_costs;
   query::SharedGatherOptions shared_gather;
   /// A merger has to accept a partial query within the objective divided by this, but at least
-  /// within `shared_gather.accept_patience`: the first connection to another zone takes 6 ms.
+  /// within `shared_gather.accept_timeout`: the first connection to another zone takes 6 ms.
   int accept_timeout_divisor = 8;
   /// Minimum interval between reports of later shard results.
   Duration report_interval = Milliseconds(3);
@@ -123,7 +123,7 @@
   double mergers_connection_share = 0.75;
   /// Retry hint for quarantined requests.
   Duration retry_when_quarantined = Seconds(60);
-  quarantine::WitnessOptions witness;
+  quarantine::RunTrackerOptions run_tracker;
   /// Minimum interval between reports of lost runs to control.
   Duration run_report_interval = Milliseconds(20);
   /// Part of an answer's latency that a gateway cannot observe: clients send deadlines in whole
@@ -158,7 +158,7 @@
   admission::EntryOptions entry;
   GatewayKnobs knobs;
   LeafViewOptions leaf_view{.merge_interval = Milliseconds(100)};
-  query::ExecutionOptions execution{.poll = Milliseconds(10),
+  query::ExecutionOptions execution{.poll_interval = Milliseconds(10),
                                     .expect_median = true,
                                     .hedge_median_factor = 1.5,
                                     .charge_replacements = true};
@@ -230,7 +230,7 @@
   /// @param arrived earliest possible time of arrival; the times of the route count from then.
   void OnRequest(Timestamp now, RequestId id, std::shared_ptr<const PayloadRequest> request,
                  Timestamp arrived);
-  void OnClientGone(Timestamp now, RequestId id);
+  void OnClientDisconnected(Timestamp now, RequestId id);
   /// Called when the last byte of an answer has been passed to the operating system.
   void OnAnswerWritten(Timestamp now, const RequestTrace& trace);
   void OnLeafReply(Timestamp now, const query::LeafReply& reply);
@@ -244,15 +244,15 @@
 
   /// Handles a message from another gateway that uses this one as merger or lender.
   /// @param arrived as for OnRequest().
-  void OnPeerQuestion(Timestamp now, PeerSessionId session, const wire::Envelope& envelope,
-                      Timestamp arrived);
+  void OnPeerRequest(Timestamp now, PeerSessionId session, const wire::Envelope& envelope,
+                     Timestamp arrived);
   void OnPeerSessionClosed(Timestamp now, PeerSessionId session);
   /// Handles a reply from a gateway that this one has sent a request to.
-  void OnPeerWord(Timestamp now, const std::string& address, const wire::Envelope& envelope);
-  void OnPeerLost(Timestamp now, const std::string& address);
+  void OnPeerReply(Timestamp now, const std::string& address, const wire::Envelope& envelope);
+  void OnPeerDisconnected(Timestamp now, const std::string& address);
 
   /// Adds control machines that are not known yet.
-  void LearnControl(const std::vector<std::string>& addresses);
+  void AddControlMachines(const std::vector<std::string>& addresses);
   /// Directs clients to other gateways from now on; requests that still arrive are served.
   void StartDraining(Timestamp now);
   bool Drained() const { return active_.empty() && early_.empty() && held_.empty(); }
@@ -265,7 +265,7 @@
   /// Returns the addresses of gateways that a client may use, best first, from the latest view of
   /// the gateways. A gateway that knows no others returns its own address. Empty: none is
   /// available.
-  std::vector<std::string> GatewaysFor(const directory::ClientPlace& client) const;
+  std::vector<std::string> GatewaysFor(const directory::ClientLocation& client) const;
 
   uint64_t document_version() const { return table_ == nullptr ? 0 : table_->version(); }
   const routing::RouteTable* table() const { return table_.get(); }
@@ -316,7 +316,7 @@
     std::vector<query::MissingShard> unreported_gaps;
     /// Number of abandoned shards so far, and how many of them the whole gather can do without.
     size_t gaps = 0;
-    size_t may_miss = 0;
+    size_t max_missing = 0;
   };
   struct Active {
     std::shared_ptr<const PayloadRequest> request;
@@ -498,7 +498,8 @@
   /// Starts a shared gather. @return false if the request cannot or need not be shared.
   bool StartShared(Timestamp now, RequestId id, Active* active, Timestamp arrived);
   void CollectShared(Timestamp now, RequestId id);
-  void SendPartialQuery(Timestamp now, const Active& active, const query::GroupQuestion& partial);
+  void SendPartialQuery(Timestamp now, const Active& active,
+                        const query::OutgoingPartialQuery& partial);
   void CancelPartialQuery(const Active& active, const query::GroupCancel& cancel);
   void AnswerShared(Timestamp now, RequestId id, const Active& active,
                     query::SharedOutcome outcome);
@@ -528,7 +529,7 @@
   /// zero.
   size_t CoOwnersOf(const GroupOfRoute& group);
   /// Returns how many of the group's shards the whole gather can do without.
-  static size_t MayMissOf(const GroupOfRoute& group, const std::string& request_id);
+  static size_t MaxMissingOf(const GroupOfRoute& group, const std::string& request_id);
   void Answer(Timestamp now, RequestId id, const Active& active, const query::Answer& answer);
   void Refuse(Timestamp now, RequestId id, std::shared_ptr<const PayloadRequest> request,
               ResultCode code, Duration retry_after);
@@ -554,7 +555,7 @@
   /// Whether any service limits requests to its cold leafs.
   bool limits_cold_leafs_ = false;
   balance::LeafPool pool_;
-  PoolKeeper pool_updater_;
+  LeafPoolUpdater pool_updater_;
   std::shared_ptr<const routing::RouteTable> table_;
   /// The newest document cannot be parsed by this program, so it is unknown which keys it has
   /// removed.
@@ -584,7 +585,7 @@
   };
   std::map<std::pair<PeerSessionId, uint64_t>, StandbyQuery> stand_by_;
   uint64_t partials_started_ = 0;
-  quarantine::RunWitness run_tracker_;
+  quarantine::RunTracker run_tracker_;
   quarantine::ReportSender reports_;
   /// Time from the due time of an answer to the writing of its last byte.
   RecentDurations answer_lag_;
--- a/src/gateway/gateway_sharing.cc
+++ b/src/gateway/gateway_sharing.cc
@@ -50,9 +50,10 @@
     arrivals.emplace(active.route->objective);
   }
   const size_t shards = active.route->shards.size();
-  shared->SetDue([this, &arrivals, due = *left, shards](Duration elapsed, size_t covered) {
-    return query::BestMoment({elapsed, due, covered, shards}, *arrivals, answer_lag_);
-  });
+  shared->SetAnswerTimeCallback(
+      [this, &arrivals, due = *left, shards](Duration elapsed, size_t covered) {
+        return query::BestAnswerTime({elapsed, due, covered, shards}, *arrivals, answer_lag_);
+      });
 }
 
 void GatewayServer::OnAnswerWritten(Timestamp now, const RequestTrace& trace) {
@@ -84,8 +85,8 @@
     }
   }
   query::SharedGatherOptions options = options_.knobs.shared_gather;
-  options.accept_patience =
-      std::max(options.accept_patience, route.objective / options_.knobs.accept_timeout_divisor);
+  options.accept_timeout =
+      std::max(options.accept_timeout, route.objective / options_.knobs.accept_timeout_divisor);
   const auto choose = [this, active](Timestamp when, size_t group,
                                      const std::set<std::string>& tried) {
     const GroupPlace place = PlaceOf(active->route->shards, active->ranges, group);
@@ -107,7 +108,7 @@
 }
 
 void GatewayServer::SendPartialQuery(Timestamp now, const Active& active,
-                                     const query::GroupQuestion& partial) {
+                                     const query::OutgoingPartialQuery& partial) {
   const size_t groups = active.ranges.size();
   const policy::QueryPlan plan = SharedPlanFor(*active.route, *active.request, groups);
   const Timestamp started = active.shared->started();
@@ -124,13 +125,13 @@
   query.objective = active.route->objective;
   query.top_records = static_cast<uint32_t>(active.route->top_records);
   query.max_attempts = partial.max_attempts;
-  query.again = partial.again;
-  query.stand_by = partial.stand_by;
+  query.reassigned = partial.reassigned;
+  query.await_confirmation = partial.await_confirmation;
   query.groups = static_cast<uint32_t>(active.ranges.size());
   query.shards = Slice(active.route->shards, active.ranges[partial.group]);
   query.tenant = active.tenant;
   query.priority = static_cast<uint32_t>(active.priority);
-  query.homes.assign(active.allowed_regions.begin(), active.allowed_regions.end());
+  query.allowed_regions.assign(active.allowed_regions.begin(), active.allowed_regions.end());
   output_.peer_messages.push_back(
       {partial.merger, {options_.cluster, document_version(), std::move(query)}, active.priority});
 }
@@ -145,7 +146,7 @@
 void GatewayServer::CollectShared(Timestamp now, RequestId id) {
   Active& active = active_.at(id);
   query::SharedGatherActions actions = active.shared->TakeActions();
-  for (const std::string& merger : actions.silent) {
+  for (const std::string& merger : actions.abandoned_mergers) {
     owners_.Suspect(merger, now + options_.knobs.merger_suspect_time);
   }
   for (const query::GroupCancel& cancel : actions.cancels) {
@@ -157,7 +158,7 @@
          {options_.cluster, document_version(), wire::PartialConfirm{confirmation.id}},
          active.priority});
   }
-  for (const query::GroupQuestion& partial : actions.questions) {
+  for (const query::OutgoingPartialQuery& partial : actions.partial_queries) {
     request_of_partial_query_[partial.id] = id;
     active.partial_query_ids.push_back(partial.id);
     SendPartialQuery(now, active, partial);
@@ -194,7 +195,7 @@
   }
   out.trace.extra_sub_requests = outcome.extra;
   out.trace.missing = std::move(outcome.missing);
-  out.trace.questions = active.shared->Questions();
+  out.trace.partial_queries = active.shared->PartialQueries();
   const bool success = outcome.code == ResultCode::kOk || outcome.code == ResultCode::kPartial;
   if (success) {
     out.gathered = true;
@@ -208,8 +209,8 @@
   output_.answers.push_back(std::move(out));
 }
 
-void GatewayServer::OnPeerWord(Timestamp now, const std::string& address,
-                               const wire::Envelope& envelope) {
+void GatewayServer::OnPeerReply(Timestamp now, const std::string& address,
+                                const wire::Envelope& envelope) {
   if (envelope.cluster != options_.cluster) {
     return;
   }
@@ -228,11 +229,11 @@
     return;
   }
   const RequestId id = found->second;
-  active_.at(id).shared->OnWord(now, *reply);
+  active_.at(id).shared->OnPartialAnswer(now, *reply);
   CollectShared(now, id);
 }
 
-void GatewayServer::OnPeerLost(Timestamp now, const std::string& address) {
+void GatewayServer::OnPeerDisconnected(Timestamp now, const std::string& address) {
   owners_.Suspect(address, now + options_.knobs.merger_suspect_time);
   gate_.limits().OnGatewayLost(now, address);
   ApplyLimitOutput(now);
--- a/src/gateway/pool_keeper.cc
+++ b/src/gateway/leaf_pool_updater.cc
@@ -1,4 +1,4 @@
-#include "gateway/pool_keeper.h"
+#include "gateway/leaf_pool_updater.h"
 
 #include <algorithm>
 #include <utility>
@@ -6,20 +6,20 @@
 
 namespace pumicedyke::gateway {
 
-balance::ConnectionBound PoolKeeper::BoundOf(const std::string& service,
-                                             const PoolContext& context) {
+balance::ConnectionBound LeafPoolUpdater::BoundOf(const std::string& service,
+                                                  const PoolContext& context) {
   const routing::ServiceSpec* spec =
       context.table == nullptr ? nullptr : context.table->FindService(service);
   return {spec == nullptr ? 0 : spec->max_connections, context.gateways};
 }
 
-bool PoolKeeper::IsPreferred(const std::string& service, const std::string& leaf) const {
+bool LeafPoolUpdater::IsPreferred(const std::string& service, const std::string& leaf) const {
   const auto it = preferred_.find(service);
   return it != preferred_.end() && it->second.contains(leaf);
 }
 
-void PoolKeeper::Sync(Timestamp now, const LeafView& view, const std::vector<LeafChange>& changes,
-                      const PoolContext& context) {
+void LeafPoolUpdater::Sync(Timestamp now, const LeafView& view,
+                           const std::vector<LeafChange>& changes, const PoolContext& context) {
   std::set<std::string> services;
   for (const LeafChange& change : changes) {
     if (change.restarted) {
@@ -42,7 +42,7 @@
   }
 }
 
-void PoolKeeper::UpdateLeaf(Timestamp now, const LeafView& view, const std::string& leaf) {
+void LeafPoolUpdater::UpdateLeaf(Timestamp now, const LeafView& view, const std::string& leaf) {
   const auto known = view.leafs().find(leaf);
   if (known == view.leafs().end()) {
     pool_->Remove(leaf);
@@ -53,14 +53,14 @@
   pool_->SetLeafLeavingOnPlatform(leaf, view.IsClosed(known->second));
 }
 
-void PoolKeeper::ConfigureLeaf(Timestamp now, const wire::LeafRecord& record, bool preferred) {
+void LeafPoolUpdater::ConfigureLeaf(Timestamp now, const wire::LeafRecord& record, bool preferred) {
   const balance::LeafPlacement placement{record.zone != zone_, preferred};
   pool_->Configure(now, record.leaf, std::max(1U, record.slots), placement);
   ++placements_;
 }
 
-void PoolKeeper::SelectPreferred(Timestamp now, const LeafView& view, const std::string& service,
-                                 const PoolContext& context) {
+void LeafPoolUpdater::SelectPreferred(Timestamp now, const LeafView& view,
+                                      const std::string& service, const PoolContext& context) {
   std::vector<balance::SubsetCandidate> candidates;
   for (const std::string& leaf : view.UsableLeafs(service)) {
     candidates.push_back({leaf, view.leafs().at(leaf).zone != zone_});
@@ -76,8 +76,8 @@
   }
 }
 
-std::set<std::string> PoolKeeper::ServicesToResize(const LeafView& view,
-                                                   const PoolContext& context) const {
+std::set<std::string> LeafPoolUpdater::ServicesToResize(const LeafView& view,
+                                                        const PoolContext& context) const {
   std::set<std::string> services;
   for (const auto& [service, leafs] : view.usable()) {
     const auto known = preferred_.find(service);
--- a/src/gateway/pool_keeper.h
+++ b/src/gateway/leaf_pool_updater.h
@@ -27,11 +27,11 @@
 };
 
 /// Confined to the event loop's thread.
-class PoolKeeper {
+class LeafPoolUpdater {
  public:
   /// @param node, zone of this gateway.
   /// @param pool must outlive this object.
-  PoolKeeper(std::string node, std::string zone, balance::LeafPool* pool)
+  LeafPoolUpdater(std::string node, std::string zone, balance::LeafPool* pool)
       : node_(std::move(node)), zone_(std::move(zone)), pool_(pool) {}
 
   /// Applies the changes since the last call.
--- a/src/gateway/leaf_view.cc
+++ b/src/gateway/leaf_view.cc
@@ -20,7 +20,7 @@
     state.version = 0;
     return false;
   }
-  const bool nothing_new = feed.from_version != 0 && feed.records.empty() && feed.gone.empty();
+  const bool nothing_new = feed.from_version != 0 && feed.records.empty() && feed.removed.empty();
   state.version = feed.version;
   if (nothing_new) {
     return true;
@@ -43,7 +43,7 @@
       MarkLeaving(record.leaf, record.born_ms);
     }
   }
-  for (const std::string& leaf : feed.gone) {
+  for (const std::string& leaf : feed.removed) {
     state.records.erase(leaf);
     state.unconfirmed.erase(leaf);
     stale_.insert(leaf);
--- a/src/gateway/messages.cc
+++ b/src/gateway/messages.cc
@@ -2,7 +2,7 @@
 
 namespace pumicedyke::gateway {
 
-std::shared_ptr<const std::string> HeadWithCaller(const PayloadRequest& request) {
+std::shared_ptr<const std::string> HeadWithCallerHeaders(const PayloadRequest& request) {
   if (request.caller_headers.empty()) {
     return nullptr;
   }
--- a/src/gateway/messages.h
+++ b/src/gateway/messages.h
@@ -64,17 +64,17 @@
   bool keep_headers = true;
   /// Tenant name sent to leafs, whatever the client claimed; empty: no tenant.
   std::string tenant;
-  /// Replaces the request's encoded head if set; see HeadWithCaller().
+  /// Replaces the request's encoded head if set; see HeadWithCallerHeaders().
   std::shared_ptr<const std::string> head;
   /// Request priority; zero is the most urgent.
   int priority = 0;
   /// Number of connections kept open if `keep_connection` is set.
-  size_t kept_connections = 1;
+  size_t retained_connections = 1;
 };
 
 /// Returns the encoded head including the client's identity headers, for documents without tenants.
 /// @return null if the client sent no such headers; `encoded_head` is complete then.
-std::shared_ptr<const std::string> HeadWithCaller(const PayloadRequest& request);
+std::shared_ptr<const std::string> HeadWithCallerHeaders(const PayloadRequest& request);
 
 struct LeafCancel {
   SubRequestId id;
@@ -100,11 +100,11 @@
   std::optional<Timestamp> due;
   uint32_t extra_sub_requests = 0;
   /// Shards abandoned because no budget was left for another sub-request.
-  uint32_t unpaid_shards = 0;
+  uint32_t budget_denied_shards = 0;
   std::vector<query::AttemptRecord> attempts;
   std::vector<query::MissingShard> missing;
   /// Partial queries sent to other gateways, if the gather was shared.
-  std::vector<query::QuestionRecord> questions;
+  std::vector<query::PartialQueryRecord> partial_queries;
 };
 
 /// Work done by this gateway on a group of shards for another gateway, for the log.
@@ -121,7 +121,7 @@
   size_t shards = 0;
   uint32_t extra_sub_requests = 0;
   /// Shards abandoned because no budget was left for another sub-request.
-  uint32_t unpaid_shards = 0;
+  uint32_t budget_denied_shards = 0;
   std::vector<query::AttemptRecord> attempts;
   std::vector<query::MissingShard> missing;
 };
--- a/src/gateway/question_queue.h
+++ b/src/gateway/partial_query_queue.h
@@ -13,7 +13,7 @@
 namespace pumicedyke::gateway {
 
 /// A partial query over a group of shards, as received.
-struct ArrivedQuestion {
+struct ArrivedPartialQuery {
   /// Connection on which it arrived.
   uint64_t session = 0;
   wire::Envelope envelope;
@@ -21,20 +21,20 @@
   Timestamp arrived{};
 };
 
-class QuestionQueue {
+class PartialQueryQueue {
  public:
   /// Takes ownership of a partial query.
   /// @return false if it is another message, which is left unchanged.
-  bool Add(ArrivedQuestion* query);
+  bool Add(ArrivedPartialQuery* query);
   /// Removes a partial query that was not taken yet. @return false if there is none.
   bool Cancel(uint64_t session, uint64_t id);
   void CloseSession(uint64_t session);
   /// Returns the most urgent partial query, the first read among equals; unset if there is none.
-  std::optional<ArrivedQuestion> Take();
+  std::optional<ArrivedPartialQuery> Take();
 
  private:
   /// In the order of reading.
-  std::vector<ArrivedQuestion> waiting_;
+  std::vector<ArrivedPartialQuery> waiting_;
 };
 
 }  // namespace pumicedyke::gateway
--- a/src/gateway/peer_view.cc
+++ b/src/gateway/peer_view.cc
@@ -23,10 +23,10 @@
     Remove(record.node);
     Add(record);
   }
-  for (const std::string& node : feed.gone) {
+  for (const std::string& node : feed.removed) {
     Remove(node);
   }
-  if (full || !feed.peers.empty() || !feed.gone.empty()) {
+  if (full || !feed.peers.empty() || !feed.removed.empty()) {
     ++changes_;
   }
   return true;
@@ -48,9 +48,9 @@
   return it == by_zone_.end() ? *none : it->second;
 }
 
-std::vector<std::string> PeerView::AddressesFor(const directory::ClientPlace& client,
+std::vector<std::string> PeerView::AddressesFor(const directory::ClientLocation& client,
                                                 const RegionMap& regions) const {
-  std::vector<directory::GatewayPlace> places;
+  std::vector<directory::GatewayLocation> places;
   for (const auto& [node, peer] : peers_) {
     if (!peer.address.empty()) {
       places.push_back({peer.address, peer.zone, regions.Of(peer.zone)});
--- a/src/gateway/peer_view.h
+++ b/src/gateway/peer_view.h
@@ -30,7 +30,7 @@
   /// @return null if the gateway is unknown.
   const wire::GatewayRecord* Find(const std::string& node) const;
   /// Returns the addresses for a client, best first; empty if no gateway is known.
-  std::vector<std::string> AddressesFor(const directory::ClientPlace& client,
+  std::vector<std::string> AddressesFor(const directory::ClientLocation& client,
                                         const RegionMap& regions) const;
   /// Returns the names of all gateways, sorted.
   std::vector<std::string> Names() const;
--- a/src/http/http_client.cc
+++ b/src/http/http_client.cc
@@ -215,7 +215,7 @@
     ++served_;
     const std::shared_ptr<Call> call = std::exchange(call_, nullptr);
     if (reusable) {
-      ArmIdleTimer(call->request.close_soon ? 0 : call->request.kept_connections);
+      ArmIdleTimer(call->request.close_when_idle ? 0 : call->request.retained_connections);
       client_->OnIdle(this);
     } else {
       Close();
@@ -409,7 +409,7 @@
   }
 }
 
-void HttpClient::EndUnsent(CallId id) {
+void HttpClient::CancelUnsent(CallId id) {
   const auto it = calls_.find(id);
   if (it == calls_.end()) {
     return;
--- a/src/http/http_client.h
+++ b/src/http/http_client.h
@@ -47,9 +47,9 @@
   /// HttpClientOptions::max_connections_per_host.
   size_t max_connections = 0;
   /// No further request to the address is expected soon, so its connection counts as surplus.
-  bool close_soon = false;
-  /// Without `close_soon`: the number of connections to the address that are not surplus.
-  size_t kept_connections = 1;
+  bool close_when_idle = false;
+  /// Without `close_when_idle`: the number of connections to the address that are not surplus.
+  size_t retained_connections = 1;
   /// Of the calls that wait for a connection, those with the lowest value are sent first.
   int priority = 0;
 };
@@ -105,7 +105,7 @@
   /// @return whether the call is still open.
   bool Abandon(CallId id, Duration timeout, DoneCb on_late = nullptr);
   /// Ends the call as not sent, unless its request may have been written.
-  void EndUnsent(CallId id);
+  void CancelUnsent(CallId id);
   /// Number of open calls that were not abandoned.
   size_t in_flight() const;
   uint64_t connections_opened() const { return connections_opened_; }
--- a/src/limits/keeper_placement.cc
+++ b/src/limits/lender_placement.cc
@@ -1,4 +1,4 @@
-#include "limits/keeper_placement.h"
+#include "limits/lender_placement.h"
 
 #include <xxhash.h>
 
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-void KeeperPlacement::ConsiderGateway(AccountPlace* place, const Gateway& gateway) {
+void LenderPlacement::ConsiderGateway(AccountPlace* place, const Gateway& gateway) {
   const auto ranks_before = [&](const Gateway* other) {
     if (other == nullptr) {
       return true;
@@ -37,7 +37,7 @@
   }
 }
 
-void KeeperPlacement::ChooseLenders(AccountPlace* place) const {
+void LenderPlacement::ChooseLenders(AccountPlace* place) const {
   place->primary = nullptr;
   place->reserve = nullptr;
   for (const auto& [node, gateway] : gateways_) {
@@ -45,7 +45,7 @@
   }
 }
 
-void KeeperPlacement::SetAccounts(const std::vector<AccountId>& accounts) {
+void LenderPlacement::SetAccounts(const std::vector<AccountId>& accounts) {
   const std::set<AccountId> wanted(accounts.begin(), accounts.end());
   std::erase_if(places_, [&](const auto& item) { return !wanted.contains(item.first); });
   for (const AccountId& account : wanted) {
@@ -57,7 +57,7 @@
   }
 }
 
-void KeeperPlacement::SetGateways(const std::vector<LimitGateway>& gateways) {
+void LenderPlacement::SetGateways(const std::vector<LimitGateway>& gateways) {
   std::map<std::string, const LimitGateway*> wanted;
   for (const LimitGateway& gateway : gateways) {
     wanted[gateway.node] = &gateway;
@@ -96,7 +96,7 @@
   }
 }
 
-Lenders KeeperPlacement::Find(const AccountId& account) const {
+Lenders LenderPlacement::Find(const AccountId& account) const {
   const auto it = places_.find(account);
   if (it == places_.end()) {
     return {};
@@ -106,7 +106,7 @@
           place.reserve == nullptr ? nullptr : &place.reserve->record};
 }
 
-std::vector<AccountId> KeeperPlacement::AccountsLentBy(const std::string& node) const {
+std::vector<AccountId> LenderPlacement::AccountsLentBy(const std::string& node) const {
   const auto it = gateways_.find(node);
   if (it == gateways_.end()) {
     return {};
--- a/src/limits/keeper_placement.h
+++ b/src/limits/lender_placement.h
@@ -17,17 +17,17 @@
 /// The lenders of an account; null if there is none.
 struct Lenders {
   /// The primary lender.
-  const LimitGateway* first = nullptr;
+  const LimitGateway* primary = nullptr;
   /// The reserve lender; lends from the account's reserve.
-  const LimitGateway* second = nullptr;
+  const LimitGateway* reserve = nullptr;
 };
 
 /// Not thread-safe.
-class KeeperPlacement {
+class LenderPlacement {
  public:
-  KeeperPlacement() = default;
-  KeeperPlacement(const KeeperPlacement&) = delete;
-  KeeperPlacement& operator=(const KeeperPlacement&) = delete;
+  LenderPlacement() = default;
+  LenderPlacement(const LenderPlacement&) = delete;
+  LenderPlacement& operator=(const LenderPlacement&) = delete;
 
   void SetAccounts(const std::vector<AccountId>& accounts);
   void SetGateways(const std::vector<LimitGateway>& gateways);
--- a/src/limits/limit_borrower.cc
+++ b/src/limits/limit_borrower.cc
@@ -31,7 +31,7 @@
 }  // namespace
 
 LimitBorrower::LimitBorrower(BorrowerOptions options, std::string node,
-                             const KeeperPlacement* placement, LimitKeeper* lender,
+                             const LenderPlacement* placement, LimitLender* lender,
                              uint64_t* next_id)
     : options_(options),
       node_(std::move(node)),
@@ -101,7 +101,7 @@
 
 const LimitGateway* LimitBorrower::GatewayOf(const std::string& tenant, Candidate candidate) const {
   const Lenders lenders = placement_->Find({tenant, candidate.part});
-  return candidate.reserve ? lenders.second : lenders.first;
+  return candidate.reserve ? lenders.reserve : lenders.primary;
 }
 
 bool LimitBorrower::IsSuspected(Timestamp now, const LimitGateway& gateway) const {
@@ -186,7 +186,7 @@
                          const LimitGateway& gateway) {
   TenantState& state = tenants_.at(search.tenant);
   const AccountId account{search.tenant, candidate.part};
-  wire::LimitAsk ask;
+  wire::LimitRequest ask;
   ask.id = (*next_id_)++;
   ask.tenant = search.tenant;
   ask.part = candidate.part;
@@ -196,7 +196,7 @@
   ++search.requests_sent;
   due_.emplace(now + options_.lender_timeout, ask.id);
   pending_[ask.id] = {std::move(search), candidate, gateway.address, now, false};
-  output_.questions.push_back({gateway.address, std::move(ask)});
+  output_.requests.push_back({gateway.address, std::move(ask)});
 }
 
 void LimitBorrower::ContinueSearch(Timestamp now, TokenSearch search) {
@@ -223,10 +223,10 @@
   }
 }
 
-LimitAnswer LimitBorrower::Admit(Timestamp now, RequestId id, const std::string& tenant) {
+LimitResult LimitBorrower::Admit(Timestamp now, RequestId id, const std::string& tenant) {
   TenantState* found = FindOrAddTenant(tenant);
   if (found == nullptr) {
-    return {LimitVerdict::kRefused, options_.default_retry_after};
+    return {LimitStatus::kRefused, options_.default_retry_after};
   }
   TenantState& state = *found;
   RecordDemand(now, &state);
@@ -236,19 +236,19 @@
   const bool exhausted = std::all_of(state.exhausted_until.begin(), state.exhausted_until.end(),
                                      [&](Timestamp until) { return now < until; });
   if (exhausted || state.queued.size() >= options_.max_queued) {
-    return {LimitVerdict::kRefused, RetryAfter(now, &state, {})};
+    return {LimitStatus::kRefused, RetryAfter(now, &state, {})};
   }
   if (state.open_requests >= options_.max_open_requests) {
     state.queued.push_back(id);
-    return {LimitVerdict::kWaiting, {}};
+    return {LimitStatus::kWaiting, {}};
   }
   ContinueSearch(now, {tenant, {id}, {}, 0, {}});
   if (output_.decisions.empty() || output_.decisions.back().id != id) {
-    return {LimitVerdict::kWaiting, {}};
+    return {LimitStatus::kWaiting, {}};
   }
   const LimitDecision decision = output_.decisions.back();
   output_.decisions.pop_back();
-  return {decision.granted ? LimitVerdict::kGranted : LimitVerdict::kRefused, decision.retry_after};
+  return {decision.granted ? LimitStatus::kGranted : LimitStatus::kRefused, decision.retry_after};
 }
 
 void LimitBorrower::Withdraw(RequestId id) {
@@ -340,13 +340,13 @@
 }
 
 void LimitBorrower::ReturnTokens(const Batch& batch, const std::string& tenant) {
-  wire::LimitAsk ask;
+  wire::LimitRequest ask;
   ask.id = (*next_id_)++;
   ask.tenant = tenant;
   ask.part = batch.part;
   ask.returned = batch.count;
   ask.returned_of = batch.request;
-  output_.questions.push_back({batch.address, std::move(ask)});
+  output_.requests.push_back({batch.address, std::move(ask)});
 }
 
 void LimitBorrower::ReturnExpired(Timestamp now) {
@@ -398,8 +398,7 @@
 void LimitBorrower::CollectInto(LimitOutput* output) {
   std::move(output_.decisions.begin(), output_.decisions.end(),
             std::back_inserter(output->decisions));
-  std::move(output_.questions.begin(), output_.questions.end(),
-            std::back_inserter(output->questions));
+  std::move(output_.requests.begin(), output_.requests.end(), std::back_inserter(output->requests));
   output_ = {};
 }
 
--- a/src/limits/limit_borrower.h
+++ b/src/limits/limit_borrower.h
@@ -12,8 +12,8 @@
 
 #include "common/types.h"
 #include "limits/account_terms.h"
-#include "limits/keeper_placement.h"
-#include "limits/limit_keeper.h"
+#include "limits/lender_placement.h"
+#include "limits/limit_lender.h"
 #include "limits/limit_messages.h"
 #include "wire/messages.h"
 
@@ -44,12 +44,12 @@
 class LimitBorrower {
  public:
   /// @param placement, lender must outlive this object; the lender belongs to the same gateway.
-  LimitBorrower(BorrowerOptions options, std::string node, const KeeperPlacement* placement,
-                LimitKeeper* lender, uint64_t* next_id);
+  LimitBorrower(BorrowerOptions options, std::string node, const LenderPlacement* placement,
+                LimitLender* lender, uint64_t* next_id);
 
   /// Sets the limited tenants with the number of their accounts.
   void SetTenants(const std::map<std::string, uint32_t>& parts);
-  LimitAnswer Admit(Timestamp now, RequestId id, const std::string& tenant);
+  LimitResult Admit(Timestamp now, RequestId id, const std::string& tenant);
   void Withdraw(RequestId id);
   void OnGrant(Timestamp now, const wire::LimitGrant& grant);
   void OnGatewayLost(Timestamp now, const std::string& address);
@@ -136,8 +136,8 @@
 
   BorrowerOptions options_;
   std::string node_;
-  const KeeperPlacement* placement_;
-  LimitKeeper* lender_;
+  const LenderPlacement* placement_;
+  LimitLender* lender_;
   uint64_t* next_id_;
   std::map<std::string, uint32_t> parts_;
   /// The tenants that have sent requests to this gateway.
--- a/src/limits/limit_keeper.cc
+++ b/src/limits/limit_lender.cc
@@ -1,4 +1,4 @@
-#include "limits/limit_keeper.h"
+#include "limits/limit_lender.h"
 
 #include <algorithm>
 #include <limits>
@@ -17,18 +17,18 @@
 
 }  // namespace
 
-void LimitKeeper::StartRefilling(Timestamp now, Account* account) {
+void LimitLender::StartRefilling(Timestamp now, Account* account) {
   Refill(&account->bucket, now);
   account->settled = true;
   ++changes_;
   account->was_primary = false;
-  const bool primary = account->role == KeeperRole::kFirst;
+  const bool primary = account->role == LenderRole::kPrimary;
   account->bucket.rate = primary ? account->terms.rate : account->terms.reserve_rate;
   account->bucket.cap = primary ? account->terms.cap : account->terms.reserve_cap;
   account->bucket.level = std::min(account->bucket.level, account->bucket.cap);
 }
 
-void LimitKeeper::StopRefilling(Timestamp now, Account* account) {
+void LimitLender::StopRefilling(Timestamp now, Account* account) {
   Refill(&account->bucket, now);
   changes_ += account->settled ? 1 : 0;
   account->settled = false;
@@ -37,7 +37,7 @@
   account->next_claim = now;
 }
 
-void LimitKeeper::SetTerms(Timestamp now, const std::map<AccountId, AccountTerms>& terms) {
+void LimitLender::SetTerms(Timestamp now, const std::map<AccountId, AccountTerms>& terms) {
   terms_ = terms;
   std::erase_if(accounts_, [&](const auto& item) { return !terms_.contains(item.first); });
   for (auto& [id, account] : accounts_) {
@@ -57,11 +57,11 @@
   }
 }
 
-void LimitKeeper::SetRole(Timestamp now, const AccountId& account, KeeperRole role,
+void LimitLender::SetRole(Timestamp now, const AccountId& account, LenderRole role,
                           std::vector<std::string> claim_targets) {
   const auto terms = terms_.find(account);
   const auto found = accounts_.find(account);
-  if (terms == terms_.end() || (found == accounts_.end() && role == KeeperRole::kNone)) {
+  if (terms == terms_.end() || (found == accounts_.end() && role == LenderRole::kNone)) {
     return;
   }
   Account& entry = found == accounts_.end() ? accounts_[account] : found->second;
@@ -73,7 +73,7 @@
   if (entry.role == role) {
     return;
   }
-  if (entry.settled && entry.role == KeeperRole::kFirst) {
+  if (entry.settled && entry.role == LenderRole::kPrimary) {
     entry.was_primary = true;
     entry.claimable_until = now + options_.claimable_time;
   }
@@ -84,12 +84,12 @@
     return;
   }
   StopRefilling(now, &entry);
-  if (role == KeeperRole::kNone && !entry.was_primary) {
+  if (role == LenderRole::kNone && !entry.was_primary) {
     accounts_.erase(account);
   }
 }
 
-void LimitKeeper::OnProof(Timestamp now, Timestamp proven_at) {
+void LimitLender::OnProof(Timestamp now, Timestamp proven_at) {
   const bool lapsed = now - proven_at > options_.lease || proven_at - proven_at_ > options_.lease;
   proven_at_ = std::max(proven_at_, proven_at);
   if (!lapsed) {
@@ -104,14 +104,14 @@
   }
 }
 
-void LimitKeeper::StartDueAccounts(Timestamp now) {
+void LimitLender::StartDueAccounts(Timestamp now) {
   for (auto it = accounts_.begin(); it != accounts_.end();) {
     Account& account = it->second;
     if (account.was_primary && now >= account.claimable_until) {
       account.bucket.level = 0;
     }
     const bool due = !account.settled && now >= account.settles_at;
-    if (due && account.role == KeeperRole::kNone) {
+    if (due && account.role == LenderRole::kNone) {
       it = accounts_.erase(it);
       continue;
     }
@@ -122,7 +122,7 @@
   }
 }
 
-Duration LimitKeeper::NextRetry(Timestamp now, Account* account) const {
+Duration LimitLender::NextRetry(Timestamp now, Account* account) const {
   const Duration token = TimeToToken(account->bucket, options_.max_retry_after);
   const double retries_per_second =
       std::max(kMinRetriesPerSecond, account->bucket.rate * kRetriesPerToken);
@@ -132,7 +132,7 @@
   return account->last_retry - now;
 }
 
-LendResult LimitKeeper::Lend(Timestamp now, const AccountId& id, uint32_t wanted) {
+LendResult LimitLender::Lend(Timestamp now, const AccountId& id, uint32_t wanted) {
   const auto it = accounts_.find(id);
   if (it == accounts_.end() || !Proven(now)) {
     return {};
@@ -157,7 +157,7 @@
   return lent;
 }
 
-LendResult LimitKeeper::LendTo(Timestamp now, const AccountId& id, uint32_t wanted,
+LendResult LimitLender::LendTo(Timestamp now, const AccountId& id, uint32_t wanted,
                                BorrowerId borrower) {
   const LendResult lent = Lend(now, id, wanted);
   if (lent.count > 0) {
@@ -171,7 +171,7 @@
   return lent;
 }
 
-void LimitKeeper::TakeBack(Timestamp now, const AccountId& id, uint32_t count,
+void LimitLender::TakeBack(Timestamp now, const AccountId& id, uint32_t count,
                            BorrowerId borrower) {
   const auto it = accounts_.find(id);
   if (it == accounts_.end()) {
@@ -191,13 +191,13 @@
   }
 }
 
-LendResult LimitKeeper::OnClaim(Timestamp now, const AccountId& id) {
+LendResult LimitLender::OnClaim(Timestamp now, const AccountId& id) {
   const auto it = accounts_.find(id);
   if (it == accounts_.end() || !Proven(now)) {
     return {};
   }
   Account& account = it->second;
-  const bool refilling = account.settled && account.role == KeeperRole::kFirst;
+  const bool refilling = account.settled && account.role == LenderRole::kPrimary;
   if (!refilling && !account.was_primary) {
     return {};
   }
@@ -213,7 +213,7 @@
   return {wire::LimitStage::kGranted, available_tokens, {}};
 }
 
-bool LimitKeeper::OnClaimAnswer(Timestamp now, const wire::LimitGrant& grant) {
+bool LimitLender::OnClaimAnswer(Timestamp now, const wire::LimitGrant& grant) {
   const auto found = claims_.find(grant.id);
   if (found == claims_.end()) {
     return false;
@@ -223,7 +223,8 @@
   const auto it = accounts_.find(claim.account);
   const bool accepted = grant.stage == wire::LimitStage::kGranted &&
                         now - claim.sent <= options_.claim_timeout && it != accounts_.end() &&
-                        it->second.role == KeeperRole::kFirst && !it->second.settled && Proven(now);
+                        it->second.role == LenderRole::kPrimary && !it->second.settled &&
+                        Proven(now);
   if (accepted) {
     StartRefilling(now, &it->second);
     TokenBucket& bucket = it->second.bucket;
@@ -232,18 +233,19 @@
   return true;
 }
 
-std::vector<AccountClaim> LimitKeeper::Tick(Timestamp now, uint64_t* next_id) {
+std::vector<AccountClaim> LimitLender::Tick(Timestamp now, uint64_t* next_id) {
   std::erase_if(claims_,
                 [&](const auto& item) { return now - item.second.sent > options_.claim_timeout; });
   std::vector<AccountClaim> claims;
   for (auto& [id, account] : accounts_) {
-    const bool should_claim = account.role == KeeperRole::kFirst && !account.settled && Proven(now);
+    const bool should_claim =
+        account.role == LenderRole::kPrimary && !account.settled && Proven(now);
     if (!should_claim || now < account.next_claim) {
       continue;
     }
     account.next_claim = now + options_.claim_interval;
     for (const std::string& target : account.claim_targets) {
-      wire::LimitAsk ask;
+      wire::LimitRequest ask;
       ask.id = (*next_id)++;
       ask.tenant = id.tenant;
       ask.part = id.part;
@@ -255,13 +257,13 @@
   return claims;
 }
 
-Timestamp LimitKeeper::NextWake(Timestamp now) const {
+Timestamp LimitLender::NextWake(Timestamp now) const {
   const bool settling = std::any_of(accounts_.begin(), accounts_.end(),
                                     [](const auto& item) { return !item.second.settled; });
   return now + (settling ? options_.claim_interval / 2 : Duration(Seconds(1)));
 }
 
-Duration LimitKeeper::LifetimeOf(const AccountId& account) const {
+Duration LimitLender::LifetimeOf(const AccountId& account) const {
   const auto it = terms_.find(account);
   if (it == terms_.end()) {
     return Duration(0);
@@ -270,13 +272,13 @@
   return Duration(static_cast<int64_t>(loan * kUsablePart));
 }
 
-bool LimitKeeper::IsLender(const AccountId& account) const {
+bool LimitLender::IsLender(const AccountId& account) const {
   const auto it = accounts_.find(account);
-  return it != accounts_.end() && it->second.role != KeeperRole::kNone;
+  return it != accounts_.end() && it->second.role != LenderRole::kNone;
 }
 
-std::vector<AccountFigures> LimitKeeper::Figures() const {
-  std::vector<AccountFigures> figures;
+std::vector<AccountStats> LimitLender::Stats() const {
+  std::vector<AccountStats> figures;
   for (const auto& [id, account] : accounts_) {
     figures.push_back(
         {id, account.role, account.settled, account.bucket.level, account.lent, account.exhausted});
--- a/src/limits/limit_keeper.h
+++ b/src/limits/limit_lender.h
@@ -44,17 +44,17 @@
   Duration max_retry_after = Seconds(5);
 };
 
-enum class KeeperRole {
+enum class LenderRole {
   kNone,
   /// The primary lender: lends from the limit itself.
-  kFirst,
+  kPrimary,
   /// The reserve lender: lends from the account's reserve.
-  kSecond,
+  kReserve,
 };
 
 /// Result of one limit request at an account.
 struct LendResult {
-  wire::LimitStage stage = wire::LimitStage::kNotKeeper;
+  wire::LimitStage stage = wire::LimitStage::kNotLender;
   uint32_t count = 0;
   /// Set if `count` is less than requested.
   Duration retry_after{};
@@ -70,13 +70,13 @@
 /// A claim to be sent.
 struct AccountClaim {
   std::string address;
-  wire::LimitAsk ask;
+  wire::LimitRequest ask;
 };
 
 /// Statistics of one account, for operators.
-struct AccountFigures {
+struct AccountStats {
   AccountId account;
-  KeeperRole role = KeeperRole::kNone;
+  LenderRole role = LenderRole::kNone;
   bool settled = false;
   double level = 0;
   uint64_t lent = 0;
@@ -84,15 +84,15 @@
 };
 
 /// Used on the event loop's thread only.
-class LimitKeeper {
+class LimitLender {
  public:
-  explicit LimitKeeper(LenderOptions options) : options_(options) {}
+  explicit LimitLender(LenderOptions options) : options_(options) {}
 
   /// Sets all accounts. An account that is not listed is removed.
   void SetTerms(Timestamp now, const std::map<AccountId, AccountTerms>& terms);
   /// Sets the role of this gateway for an account, according to its own view.
   /// @param claim_targets addresses of gateways that may have been its lender.
-  void SetRole(Timestamp now, const AccountId& account, KeeperRole role,
+  void SetRole(Timestamp now, const AccountId& account, LenderRole role,
                std::vector<std::string> claim_targets);
   /// Records a proof. Must be called at least once a second so that a lapse is noticed.
   /// @param proven_at time at which the configuration was last proven current.
@@ -103,7 +103,7 @@
   LendResult LendTo(Timestamp now, const AccountId& account, uint32_t wanted, BorrowerId borrower);
   void TakeBack(Timestamp now, const AccountId& account, uint32_t count, BorrowerId borrower);
   /// Hands the account over to another gateway.
-  /// @return the tokens handed over; kNotKeeper if this gateway did not refill the account, which
+  /// @return the tokens handed over; kNotLender if this gateway did not refill the account, which
   /// does not exclude that another one does.
   LendResult OnClaim(Timestamp now, const AccountId& account);
   /// Handles a grant if it is the reply to a claim of this gateway. @return whether it was.
@@ -117,7 +117,7 @@
   Duration LifetimeOf(const AccountId& account) const;
   /// Whether this gateway is a lender of the account, so that its own requests need no remote one.
   bool IsLender(const AccountId& account) const;
-  std::vector<AccountFigures> Figures() const;
+  std::vector<AccountStats> Stats() const;
   /// Rises with each change of a role or of `settled`.
   uint64_t changes() const { return changes_; }
 
@@ -130,7 +130,7 @@
   struct Account {
     AccountTerms terms;
     TokenBucket bucket;
-    KeeperRole role = KeeperRole::kNone;
+    LenderRole role = LenderRole::kNone;
     bool settled = false;
     Timestamp settles_at{};
     /// This gateway refilled the account as its primary lender until the role moved to another one,
@@ -156,7 +156,7 @@
   void StartRefilling(Timestamp now, Account* account);
   /// Whether no other gateway can have started to refill the account since this one lost it.
   static bool MayResume(Timestamp now, const Account& account) {
-    return account.was_primary && account.role == KeeperRole::kFirst &&
+    return account.was_primary && account.role == LenderRole::kPrimary &&
            now < account.claimable_until;
   }
   /// Stops refilling the account.
--- a/src/limits/limit_messages.h
+++ b/src/limits/limit_messages.h
@@ -10,7 +10,7 @@
 
 namespace pumicedyke::limits {
 
-enum class LimitVerdict {
+enum class LimitStatus {
   /// A token was taken; the request may start.
   kGranted,
   /// A lender was asked; a LimitDecision with the request's id follows.
@@ -19,8 +19,8 @@
   kRefused,
 };
 
-struct LimitAnswer {
-  LimitVerdict verdict = LimitVerdict::kGranted;
+struct LimitResult {
+  LimitStatus status = LimitStatus::kGranted;
   /// If refused: the time until tokens are available.
   Duration retry_after{};
 };
@@ -33,21 +33,21 @@
 };
 
 /// A limit request to the lender of an account.
-struct LimitQuestion {
+struct OutgoingLimitRequest {
   std::string address;
-  wire::LimitAsk ask;
+  wire::LimitRequest ask;
 };
 
 /// A reply to a limit request; `session` identifies the requesting gateway's connection.
-struct LimitWord {
+struct OutgoingLimitGrant {
   uint64_t session = 0;
   wire::LimitGrant grant;
 };
 
 struct LimitOutput {
   std::vector<LimitDecision> decisions;
-  std::vector<LimitQuestion> questions;
-  std::vector<LimitWord> words;
+  std::vector<OutgoingLimitRequest> requests;
+  std::vector<OutgoingLimitGrant> grants;
 };
 
 }  // namespace pumicedyke::limits
--- a/src/limits/tenant_limits.cc
+++ b/src/limits/tenant_limits.cc
@@ -11,7 +11,7 @@
       node_(std::move(node)),
       // Ids are unique across incarnations of a gateway.
       next_id_((incarnation << 32) + 1),
-      lender_(options.keeper),
+      lender_(options.lender),
       borrower_(options.borrower, node_, &placement_, &lender_, &next_id_) {}
 
 void TenantLimits::SetTenants(Timestamp now, const std::vector<tenants::Tenant>& tenants) {
@@ -51,23 +51,23 @@
   std::map<AccountId, std::string> accounts;
   for (const AccountId& account : placement_.AccountsLentBy(node_)) {
     const Lenders lenders = placement_.Find(account);
-    const bool primary = lenders.first->node == node_;
+    const bool primary = lenders.primary->node == node_;
     std::vector<std::string> claim_targets;
-    if (primary && lenders.second != nullptr) {
-      claim_targets.push_back(lenders.second->address);
+    if (primary && lenders.reserve != nullptr) {
+      claim_targets.push_back(lenders.reserve->address);
     }
     // The previous primary lender may not know yet that it was dropped.
     const auto before = lender_accounts_.find(account);
     if (primary && before != lender_accounts_.end() && !before->second.empty()) {
       claim_targets.push_back(before->second);
     }
-    accounts[account] = primary ? std::string() : lenders.first->address;
-    lender_.SetRole(now, account, primary ? KeeperRole::kFirst : KeeperRole::kSecond,
+    accounts[account] = primary ? std::string() : lenders.primary->address;
+    lender_.SetRole(now, account, primary ? LenderRole::kPrimary : LenderRole::kReserve,
                     std::move(claim_targets));
   }
   for (const auto& [account, primary] : lender_accounts_) {
     if (!accounts.contains(account)) {
-      lender_.SetRole(now, account, KeeperRole::kNone, {});
+      lender_.SetRole(now, account, LenderRole::kNone, {});
     }
   }
   lender_accounts_ = std::move(accounts);
@@ -76,11 +76,11 @@
 
 void TenantLimits::SendClaims(Timestamp now) {
   for (AccountClaim& claim : lender_.Tick(now, &next_id_)) {
-    output_.questions.push_back({std::move(claim.address), std::move(claim.ask)});
+    output_.requests.push_back({std::move(claim.address), std::move(claim.ask)});
   }
 }
 
-LimitAnswer TenantLimits::Admit(Timestamp now, RequestId id, const tenants::Tenant& tenant,
+LimitResult TenantLimits::Admit(Timestamp now, RequestId id, const tenants::Tenant& tenant,
                                 Timestamp proven_at) {
   if (off() || !tenant.limited()) {
     return {};
@@ -91,8 +91,8 @@
 
 void TenantLimits::Withdraw(Timestamp /*now*/, RequestId id) { borrower_.Withdraw(id); }
 
-void TenantLimits::OnAsk(Timestamp now, uint64_t session, const wire::LimitAsk& ask,
-                         Timestamp proven_at) {
+void TenantLimits::OnLimitRequest(Timestamp now, uint64_t session, const wire::LimitRequest& ask,
+                                  Timestamp proven_at) {
   if (off()) {
     return;
   }
@@ -113,7 +113,7 @@
   grant.granted = lent.count;
   grant.lifetime = lender_.LifetimeOf(account);
   grant.retry_after = lent.retry_after;
-  output_.words.push_back({session, std::move(grant)});
+  output_.grants.push_back({session, std::move(grant)});
 }
 
 void TenantLimits::OnGrant(Timestamp now, const std::string& /*address*/,
--- a/src/limits/tenant_limits.h
+++ b/src/limits/tenant_limits.h
@@ -8,10 +8,10 @@
 #include <vector>
 
 #include "common/types.h"
-#include "limits/keeper_placement.h"
+#include "limits/lender_placement.h"
 #include "limits/limit_borrower.h"
 #include "limits/limit_gateway.h"
-#include "limits/limit_keeper.h"
+#include "limits/limit_lender.h"
 #include "limits/limit_messages.h"
 #include "limits/limit_options.h"
 #include "tenants/tenant.h"
@@ -21,7 +21,7 @@
 
 struct LimitOptions {
   LimitBound bound;
-  LenderOptions keeper;
+  LenderOptions lender;
   BorrowerOptions borrower;
 };
 
@@ -41,13 +41,14 @@
   /// Decides whether a tenant's request may start.
   /// @param proven_at time at which this gateway's configuration was last proven current. A gateway
   /// that is partitioned from control must not lend.
-  LimitAnswer Admit(Timestamp now, RequestId id, const tenants::Tenant& tenant,
+  LimitResult Admit(Timestamp now, RequestId id, const tenants::Tenant& tenant,
                     Timestamp proven_at);
   /// Cancels a waiting request.
   void Withdraw(Timestamp now, RequestId id);
 
   /// Handles a limit request of another gateway.
-  void OnAsk(Timestamp now, uint64_t session, const wire::LimitAsk& ask, Timestamp proven_at);
+  void OnLimitRequest(Timestamp now, uint64_t session, const wire::LimitRequest& ask,
+                      Timestamp proven_at);
   void OnGrant(Timestamp now, const std::string& address, const wire::LimitGrant& grant);
   /// Handles the loss of the connection to a gateway.
   void OnGatewayLost(Timestamp now, const std::string& address);
@@ -57,7 +58,7 @@
   Timestamp NextWake(Timestamp now) const;
   LimitOutput TakeOutput();
 
-  const LimitKeeper& keeper() const { return lender_; }
+  const LimitLender& lender() const { return lender_; }
 
  private:
   bool off() const { return options_.bound.window.count() == 0; }
@@ -68,8 +69,8 @@
   LimitOptions options_;
   std::string node_;
   uint64_t next_id_;
-  KeeperPlacement placement_;
-  LimitKeeper lender_;
+  LenderPlacement placement_;
+  LimitLender lender_;
   LimitBorrower borrower_;
   /// The accounts of which this gateway is a lender, with the address of the primary lender; empty
   /// if that is this gateway.
--- a/src/node/config_subscriber.cc
+++ b/src/node/config_subscriber.cc
@@ -41,7 +41,7 @@
   next_hello_ = std::max(now, last_hello_ + options_.min_hello_interval);
 }
 
-void ConfigSubscriber::TurnTo(Timestamp now, size_t control) {
+void ConfigSubscriber::SwitchTo(Timestamp now, size_t control) {
   control_ = control;
   switched_at_ = now;
   next_hello_ = now;
@@ -102,7 +102,7 @@
       return false;
     }
     config_.Apply(*parsed);
-    if (options_.note_changed_leafs) {
+    if (options_.record_changed_leafs) {
       RecordChangedLeafs(*parsed);
     }
   }
--- a/src/node/config_subscriber.h
+++ b/src/node/config_subscriber.h
@@ -29,7 +29,7 @@
   /// The same until the first configuration has arrived.
   Duration starting_silence_limit = Milliseconds(400);
   /// Records changed leafs; the owner must call TakeChangedLeafs().
-  bool note_changed_leafs = false;
+  bool record_changed_leafs = false;
   /// Off only in simulations that show what the check prevents.
   bool monotone_version = true;
 };
@@ -53,7 +53,7 @@
   std::vector<std::string> TakeChangedLeafs() { return std::exchange(changed_leafs_, {}); }
 
   /// Switches to another machine that suits better than `control()`.
-  void TurnTo(Timestamp now, size_t control);
+  void SwitchTo(Timestamp now, size_t control);
   /// Sets the number of control machines, when more are known than at the start.
   void SetControlMachines(size_t count) { options_.control_machines = count; }
 
--- a/src/node/node_admission.cc
+++ b/src/node/node_admission.cc
@@ -97,7 +97,7 @@
 
 admission::EntryDecision NodeServer::CheckEntry(Timestamp now, RequestId id,
                                                 const query::CallerRequest& request) {
-  return gate_.Enter(now, id, *tenants_, routing::Route{}, request.api_key,
+  return gate_.Admit(now, id, *tenants_, routing::Route{}, request.api_key,
                      subscriber_.proven_at());
 }
 
@@ -120,7 +120,7 @@
     return;
   }
   const admission::EntryDecision entry = CheckEntry(now, id, request);
-  if (entry.verdict != admission::EntryVerdict::kAdmitted) {
+  if (entry.result != admission::EntryResult::kAdmitted) {
     refuse(entry.code, std::string(InfoOf(entry.code).meaning), entry.retry_after);
     return;
   }
@@ -236,8 +236,8 @@
   policy::QueryPlan plan = active->plan;
   plan.deadline = active->deadline - now;
   query::ExecutionOptions options = options_.execution;
-  options.on_probation = witness_.IsSuspect(now, active->request.identity);
-  options.accused = witness_.IsAccused(active->request.identity);
+  options.on_probation = run_tracker_.IsSuspect(now, active->request.identity);
+  options.has_uncleared_losses = run_tracker_.HasUnclearedLosses(active->request.identity);
   active->execution = std::make_unique<query::RequestExecution>(
       active->request, plan, active->program.get(), runtime.service, *snapshot, std::move(context),
       options, now);
--- a/src/node/node_server.cc
+++ b/src/node/node_server.cc
@@ -28,7 +28,7 @@
       tenants_(std::make_shared<const routing::RouteTable>(routing::RouteSet{})),
       ledger_(options_.subscriber.cluster, origin_, &ids_),
       pool_(options_.knobs, options_.seed),
-      witness_(options_.witness),
+      run_tracker_(options_.run_tracker),
       reports_(XXH64(origin_.data(), origin_.size(), 0)),
       random_(options_.seed) {}
 
@@ -46,9 +46,9 @@
       StopQuarantined(now);
     }
   } else if (const auto* notice = std::get_if<wire::SuspectNotice>(&envelope.body)) {
-    witness_.OnWarned(now, notice->requests);
-  } else if (const auto* taken = std::get_if<wire::RunReportTaken>(&envelope.body)) {
-    reports_.OnTaken(taken->number);
+    run_tracker_.OnSuspectNotice(now, notice->requests);
+  } else if (const auto* ack = std::get_if<wire::RunReportAck>(&envelope.body)) {
+    reports_.OnAcknowledged(ack->number);
   } else if (const auto* reply = std::get_if<wire::LedgerReply>(&envelope.body)) {
     if (const auto verdict = ledger_.OnReply(now, *reply)) {
       OnLedgerVerdict(now, *verdict);
@@ -119,7 +119,7 @@
 
 bool NodeServer::Ready(Timestamp now) const {
   const bool platform_ready = !options_.wait_for_platform || platform_known_ ||
-                              now - started_ >= options_.knobs.first_report_patience;
+                              now - started_ >= options_.knobs.first_report_timeout;
   return subscriber_.ready() && platform_ready;
 }
 
@@ -190,7 +190,7 @@
     matched.id = *id;
   }
   matched.draining &= options_.leaving_mark;
-  witness_.OnEnded(now, matched);
+  run_tracker_.OnEnded(now, matched);
   const std::optional<Duration> latency = pool_.OnReply(now, matched);
   const auto found = request_of_.find(matched.id);
   if (found == request_of_.end()) {
@@ -276,13 +276,13 @@
 void NodeServer::TrackRun(Timestamp now, RequestId id, const query::CallerRequest& request,
                           const query::LeafRequest& sent) {
   const std::string attempt = origin_ + "/" + std::to_string(id.value);
-  witness_.OnSent(sent.id, {request.identity, XXH64(attempt.data(), attempt.size(), 0), sent.leaf,
-                            request.service, now});
+  run_tracker_.OnSent(sent.id, {request.identity, XXH64(attempt.data(), attempt.size(), 0),
+                                sent.leaf, request.service, now});
 }
 
 void NodeServer::StopQuarantined(Timestamp now) {
   const std::set<RequestIdentity> quarantined = subscriber_.config().StoppedRequests();
-  witness_.OnQuarantined(quarantined);
+  run_tracker_.OnQuarantined(quarantined);
   std::vector<RequestId> stopped;
   for (const auto& [id, active] : active_) {
     const bool running = active.execution != nullptr && !active.answered;
@@ -398,7 +398,7 @@
   for (wire::Envelope& envelope : ledger_.Tick(now)) {
     output_.control.push_back(std::move(envelope));
   }
-  if (std::optional<wire::RunReport> report = witness_.TakeReport()) {
+  if (std::optional<wire::RunReport> report = run_tracker_.TakeReport()) {
     reports_.Add(now, *std::move(report));
   }
   if (std::optional<wire::RunReport> report = reports_.TakeDue(now)) {
--- a/src/node/node_server.h
+++ b/src/node/node_server.h
@@ -21,7 +21,7 @@
 #include "node/ledger_client.h"
 #include "policy/policy_program.h"
 #include "quarantine/report_sender.h"
-#include "quarantine/run_witness.h"
+#include "quarantine/run_tracker.h"
 #include "query/messages.h"
 #include "query/request_execution.h"
 #include "wire/messages.h"
@@ -39,7 +39,7 @@
   /// Refuses requests once the configuration has not been proved current for this long (brief: in
   /// force everywhere within seconds). Zero: goes on with the last known configuration.
   Duration max_config_age{};
-  /// Admits no request before the platform's list was read or `knobs.first_report_patience` has
+  /// Admits no request before the platform's list was read or `knobs.first_report_timeout` has
   /// passed.
   bool wait_for_platform = false;
   /// How long a late outcome of unrepeatable work is awaited after the answer.
@@ -53,7 +53,7 @@
   bool leaving_mark = true;
   /// Retry delay for requests that the fleet has stopped.
   Duration retry_when_quarantined = Seconds(60);
-  quarantine::WitnessOptions witness{.names_are_lives = false};
+  quarantine::RunTrackerOptions run_tracker{.names_identify_incarnations = false};
   /// Replaces the policies of all services in benchmarks.
   std::optional<policy::QueryPlan> plan_override;
 };
@@ -193,7 +193,7 @@
   LedgerClient ledger_;
   HeldAnswers held_;
   balance::LeafPool pool_;
-  quarantine::RunWitness witness_;
+  quarantine::RunTracker run_tracker_;
   quarantine::ReportSender reports_;
   std::mt19937_64 random_;
   std::map<std::string, ServiceRuntime> services_;
--- a/src/quarantine/crash_evidence.cc
+++ b/src/quarantine/crash_evidence.cc
@@ -49,10 +49,10 @@
     RecordLost(seen, run);
   }
   for (const RequestIdentity& identity : report.succeeded) {
-    Acquit(identity);
+    Clear(identity);
     succeeded_[identity] = now;
   }
-  for (const std::string& leaf : report.answering) {
+  for (const std::string& leaf : report.alive_leafs) {
     crashes_.erase(crashes_.lower_bound({leaf, 0}), crashes_.upper_bound({leaf, next_crash_}));
   }
   ++version_;
@@ -88,7 +88,7 @@
   return crash;
 }
 
-void CrashEvidence::Acquit(const RequestIdentity& identity) {
+void CrashEvidence::Clear(const RequestIdentity& identity) {
   for (auto& [leaf, crash] : crashes_) {
     crash.runs.erase(identity);
   }
@@ -104,9 +104,10 @@
   version_ += forgotten > 0 ? 1 : 0;
 }
 
-Verdict CrashEvidence::Evaluate(const RequestIdentity& identity, const LeafCrashes& unexplained,
-                                const std::set<RequestIdentity>& candidates) const {
-  Verdict verdict{.identity = identity};
+CrashFinding CrashEvidence::Evaluate(const RequestIdentity& identity,
+                                     const LeafCrashes& unexplained,
+                                     const std::set<RequestIdentity>& candidates) const {
+  CrashFinding finding{.identity = identity};
   std::set<uint64_t> attempts;
   std::set<std::string> services;
   std::vector<Timestamp> times;
@@ -115,13 +116,13 @@
     if (runs == crash->runs.end()) {
       continue;
     }
-    ++verdict.leafs;
+    ++finding.leafs;
     attempts.insert(runs->second.begin(), runs->second.end());
     services.insert(crash->service);
     times.push_back(crash->at);
   }
   if (times.empty()) {
-    return verdict;
+    return finding;
   }
   const Timestamp first = *std::min_element(times.begin(), times.end());
   const Timestamp last = *std::max_element(times.begin(), times.end());
@@ -132,32 +133,32 @@
         return services.contains(crash.service) && meanwhile &&
                !CrashedWithOneOtherCandidate(crash.runs, identity, candidates);
       });
-  verdict.attempts = attempts.size();
-  verdict.share = static_cast<double>(verdict.leafs) / static_cast<double>(meanwhile);
-  verdict.moments = CountTimePoints(std::move(times));
-  return verdict;
+  finding.attempts = attempts.size();
+  finding.share = static_cast<double>(finding.leafs) / static_cast<double>(meanwhile);
+  finding.time_points = CountTimePoints(std::move(times));
+  return finding;
 }
 
 size_t CrashEvidence::CountTimePoints(std::vector<Timestamp> times) const {
   std::sort(times.begin(), times.end());
-  size_t moments = 0;
+  size_t time_points = 0;
   Timestamp begun{};
   for (const Timestamp time : times) {
-    if (moments == 0 || time - begun >= options_.time_point_gap) {
+    if (time_points == 0 || time - begun >= options_.time_point_gap) {
       begun = time;
-      ++moments;
+      ++time_points;
     }
   }
-  return moments;
+  return time_points;
 }
 
-bool CrashEvidence::IsSufficient(const Verdict& verdict,
+bool CrashEvidence::IsSufficient(const CrashFinding& finding,
                                  const std::set<RequestIdentity>& known_fatal) const {
-  if (known_fatal.contains(verdict.identity)) {
-    return verdict.leafs > 0;
+  if (known_fatal.contains(finding.identity)) {
+    return finding.leafs > 0;
   }
-  return verdict.leafs >= options_.leafs && verdict.attempts >= options_.attempts &&
-         verdict.moments >= options_.moments && verdict.share >= options_.share;
+  return finding.leafs >= options_.leafs && finding.attempts >= options_.attempts &&
+         finding.time_points >= options_.time_points && finding.share >= options_.share;
 }
 
 std::map<RequestIdentity, CrashEvidence::Occurrence> CrashEvidence::Occurrences() const {
@@ -203,20 +204,21 @@
   return candidates;
 }
 
-std::vector<Verdict> CrashEvidence::Guilty(const std::set<RequestIdentity>& known_fatal) const {
+std::vector<CrashFinding> CrashEvidence::FatalRequests(
+    const std::set<RequestIdentity>& known_fatal) const {
   std::set<RequestIdentity> candidates = Candidates(known_fatal);
   LeafCrashes unexplained;
   for (const auto& [leaf, crash] : crashes_) {
     unexplained[leaf] = &crash;
   }
-  std::vector<Verdict> confirmed;
+  std::vector<CrashFinding> confirmed;
   while (true) {
-    std::optional<Verdict> worst;
+    std::optional<CrashFinding> worst;
     for (const RequestIdentity& identity : candidates) {
-      const Verdict verdict = Evaluate(identity, unexplained, candidates);
-      const bool worse = !worst.has_value() || verdict.leafs > worst->leafs;
-      if (worse && IsSufficient(verdict, known_fatal)) {
-        worst = verdict;
+      const CrashFinding finding = Evaluate(identity, unexplained, candidates);
+      const bool worse = !worst.has_value() || finding.leafs > worst->leafs;
+      if (worse && IsSufficient(finding, known_fatal)) {
+        worst = finding;
       }
     }
     if (!worst.has_value()) {
--- a/src/quarantine/crash_evidence.h
+++ b/src/quarantine/crash_evidence.h
@@ -39,7 +39,7 @@
   size_t attempts = 3;
   /// ... at least at this many points in time, separated by the gap: when all leafs crash at once,
   /// a client that has sent several attempts is present with all of them ...
-  size_t moments = 2;
+  size_t time_points = 2;
   Duration time_point_gap = Milliseconds(500);
   /// ... and it was running at this share of the leafs of its services that crashed in the
   /// meantime. Crashes with exactly one other candidate are left out: several requests may be fatal
@@ -48,11 +48,11 @@
 };
 
 /// The evidence on which a request is confirmed as fatal.
-struct Verdict {
+struct CrashFinding {
   RequestIdentity identity;
   size_t leafs = 0;
   size_t attempts = 0;
-  size_t moments = 0;
+  size_t time_points = 0;
   /// Share of the crashes of its services' leafs, between its first and last one, that it explains.
   double share = 0;
 };
@@ -66,11 +66,11 @@
   void OnReport(Timestamp now, const wire::RunReport& report);
   void Tick(Timestamp now);
   /// Discards the evidence against the request.
-  void Acquit(const RequestIdentity& identity);
+  void Clear(const RequestIdentity& identity);
 
   /// Returns the requests that are confirmed as fatal.
   /// @param known_fatal requests confirmed earlier, for which one more crash is sufficient.
-  std::vector<Verdict> Guilty(const std::set<RequestIdentity>& known_fatal) const;
+  std::vector<CrashFinding> FatalRequests(const std::set<RequestIdentity>& known_fatal) const;
   /// Returns the requests that were running at enough crashed leafs, regardless of the number of
   /// attempts.
   std::set<RequestIdentity> Suspects() const;
@@ -110,10 +110,11 @@
   std::map<RequestIdentity, Occurrence> Occurrences() const;
   /// Returns the requests that may be fatal, before any crash is attributed to one of them.
   std::set<RequestIdentity> Candidates(const std::set<RequestIdentity>& known_fatal) const;
-  Verdict Evaluate(const RequestIdentity& identity, const LeafCrashes& unexplained,
-                   const std::set<RequestIdentity>& candidates) const;
+  CrashFinding Evaluate(const RequestIdentity& identity, const LeafCrashes& unexplained,
+                        const std::set<RequestIdentity>& candidates) const;
   size_t CountTimePoints(std::vector<Timestamp> times) const;
-  bool IsSufficient(const Verdict& verdict, const std::set<RequestIdentity>& known_fatal) const;
+  bool IsSufficient(const CrashFinding& finding,
+                    const std::set<RequestIdentity>& known_fatal) const;
 
   EvidenceOptions options_;
   std::map<CrashKey, LeafCrash> crashes_;
--- a/src/quarantine/report_sender.cc
+++ b/src/quarantine/report_sender.cc
@@ -29,7 +29,7 @@
   return report;
 }
 
-void ReportSender::OnTaken(uint64_t number) {
+void ReportSender::OnAcknowledged(uint64_t number) {
   if (pending_.empty() || pending_.front().report.number != number) {
     return;
   }
--- a/src/quarantine/report_sender.h
+++ b/src/quarantine/report_sender.h
@@ -31,7 +31,7 @@
   /// Returns the report to send now, if one is due.
   std::optional<wire::RunReport> TakeDue(Timestamp now);
   /// A control machine has acknowledged the report with this number.
-  void OnTaken(uint64_t number);
+  void OnAcknowledged(uint64_t number);
   /// Makes the pending report due at once, since the machine that received it may have stopped.
   void RepeatNow() { next_ = Timestamp{}; }
   /// When TakeDue() returns the next report; unset if none is pending.
--- a/src/quarantine/run_witness.cc
+++ b/src/quarantine/run_tracker.cc
@@ -1,17 +1,17 @@
-#include "quarantine/run_witness.h"
+#include "quarantine/run_tracker.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace pumicedyke::quarantine {
 
-void RunWitness::OnSent(SubRequestId id, Run run) {
+void RunTracker::OnSent(SubRequestId id, Run run) {
   if (run.identity.known()) {
     runs_.insert_or_assign(id, std::move(run));
   }
 }
 
-void RunWitness::OnEnded(Timestamp now, const query::LeafReply& reply) {
+void RunTracker::OnEnded(Timestamp now, const query::LeafReply& reply) {
   const auto found = runs_.find(reply.id);
   if (found == runs_.end()) {
     return;
@@ -29,7 +29,7 @@
   }
 }
 
-void RunWitness::RecordLost(Timestamp now, const Run& run) {
+void RunTracker::RecordLost(Timestamp now, const Run& run) {
   Suspect& suspect = suspects_[run.identity];
   suspect.cleared = false;
   suspect.leafs.insert(run.leaf);
@@ -39,11 +39,12 @@
   DiscardOld(now);
 }
 
-void RunWitness::RecordAnswer(const Run& run, bool succeeded) {
+void RunTracker::RecordAnswer(const Run& run, bool succeeded) {
   const auto lost = lost_at_.find(run.leaf);
-  const bool alive = options_.names_are_lives && lost != lost_at_.end() && run.sent > lost->second;
+  const bool alive =
+      options_.names_identify_incarnations && lost != lost_at_.end() && run.sent > lost->second;
   if (alive) {
-    Report().answering.push_back(run.leaf);
+    Report().alive_leafs.push_back(run.leaf);
     lost_at_.erase(lost);
   }
   if (succeeded) {
@@ -51,7 +52,7 @@
   }
 }
 
-void RunWitness::RecordSuccess(const RequestIdentity& identity) {
+void RunTracker::RecordSuccess(const RequestIdentity& identity) {
   const bool warned = warnings_.erase(identity) > 0;
   const auto suspect = suspects_.find(identity);
   const bool suspected = suspect != suspects_.end() && !suspect->second.cleared;
@@ -64,7 +65,7 @@
   }
 }
 
-void RunWitness::OnWarned(Timestamp now, const std::vector<RequestIdentity>& requests) {
+void RunTracker::OnSuspectNotice(Timestamp now, const std::vector<RequestIdentity>& requests) {
   std::erase_if(warnings_, [&](const auto& item) { return now - item.second >= options_.warning; });
   for (const RequestIdentity& request : requests) {
     const auto suspect = suspects_.find(request);
@@ -76,7 +77,7 @@
   }
 }
 
-void RunWitness::OnQuarantined(const std::set<RequestIdentity>& requests) {
+void RunTracker::OnQuarantined(const std::set<RequestIdentity>& requests) {
   for (const RequestIdentity& request : requests) {
     const auto suspect = suspects_.find(request);
     if (suspect != suspects_.end() && suspect->second.cleared) {
@@ -85,7 +86,7 @@
   }
 }
 
-bool RunWitness::IsSuspect(Timestamp now, const RequestIdentity& identity) const {
+bool RunTracker::IsSuspect(Timestamp now, const RequestIdentity& identity) const {
   const auto warning = warnings_.find(identity);
   if (warning != warnings_.end() && now - warning->second < options_.warning) {
     return true;
@@ -95,23 +96,23 @@
          suspect->second.leafs.size() >= options_.suspect_leaf_threshold;
 }
 
-bool RunWitness::IsAccused(const RequestIdentity& identity) const {
+bool RunTracker::HasUnclearedLosses(const RequestIdentity& identity) const {
   const auto suspect = suspects_.find(identity);
   return suspect != suspects_.end() && !suspect->second.cleared;
 }
 
-std::optional<wire::RunReport> RunWitness::TakeReport() {
+std::optional<wire::RunReport> RunTracker::TakeReport() {
   return std::exchange(report_, std::nullopt);
 }
 
-wire::RunReport& RunWitness::Report() {
+wire::RunReport& RunTracker::Report() {
   if (!report_.has_value()) {
     report_.emplace();
   }
   return *report_;
 }
 
-void RunWitness::DiscardOld(Timestamp now) {
+void RunTracker::DiscardOld(Timestamp now) {
   const auto is_old = [&](Timestamp last) { return now - last > options_.retention; };
   std::erase_if(suspects_, [&](const auto& item) { return is_old(item.second.last_lost); });
   std::erase_if(lost_at_, [&](const auto& item) { return is_old(item.second); });
--- a/src/quarantine/run_witness.h
+++ b/src/quarantine/run_tracker.h
@@ -18,7 +18,7 @@
 
 namespace pumicedyke::quarantine {
 
-struct WitnessOptions {
+struct RunTrackerOptions {
   /// Observations older than this are discarded.
   Duration retention = Seconds(600);
   /// Lifetime of a warning. It is short because the request may only have run at the same time.
@@ -31,7 +31,7 @@
   size_t suspect_leaf_threshold = 3;
   /// Whether a leaf's name identifies one incarnation, so that a leaf that answers again has not
   /// crashed.
-  bool names_are_lives = true;
+  bool names_identify_incarnations = true;
 };
 
 /// One sub-request at a leaf.
@@ -45,9 +45,9 @@
 };
 
 /// Used on the event loop's thread only.
-class RunWitness {
+class RunTracker {
  public:
-  explicit RunWitness(WitnessOptions options) : options_(options) {}
+  explicit RunTracker(RunTrackerOptions options) : options_(options) {}
 
   /// Starts to track a run. Ignores runs of requests without a known identity.
   void OnSent(SubRequestId id, Run run);
@@ -60,12 +60,12 @@
   void OnQuarantined(const std::set<RequestIdentity>& requests);
 
   /// Handles a warning of the control machines: other processes have seen these requests lose runs.
-  void OnWarned(Timestamp now, const std::vector<RequestIdentity>& requests);
+  void OnSuspectNotice(Timestamp now, const std::vector<RequestIdentity>& requests);
 
   /// Whether the request should be tried at one leaf before it goes to many.
   bool IsSuspect(Timestamp now, const RequestIdentity& identity) const;
   /// Whether earlier attempts at the request lost runs and none has succeeded since.
-  bool IsAccused(const RequestIdentity& identity) const;
+  bool HasUnclearedLosses(const RequestIdentity& identity) const;
   /// Returns the observations that were not reported yet, if any.
   std::optional<wire::RunReport> TakeReport();
   bool has_report() const { return report_.has_value(); }
@@ -84,7 +84,7 @@
   void DiscardOld(Timestamp now);
   wire::RunReport& Report();
 
-  WitnessOptions options_;
+  RunTrackerOptions options_;
   std::unordered_map<SubRequestId, Run> runs_;
   std::map<RequestIdentity, Suspect> suspects_;
   /// Time of the last warning by request.
--- a/src/query/answer_moment.cc
+++ b/src/query/answer_timing.cc
@@ -1,4 +1,4 @@
-#include "query/answer_moment.h"
+#include "query/answer_timing.h"
 
 #include <algorithm>
 
@@ -57,12 +57,12 @@
   return std::clamp(hazard, 0.0, 1.0);
 }
 
-Duration BestMoment(const PendingAnswer& pending, const ArrivalCurve& arrivals,
-                    const RecentDurations& lag, const AnswerValue& answer_value) {
+Duration BestAnswerTime(const PendingAnswer& pending, const ArrivalCurve& arrivals,
+                        const RecentDurations& lag, const AnswerValue& answer_value) {
   const auto shards = static_cast<double>(pending.shards);
   double missing = shards - static_cast<double>(pending.covered);
   const auto value = [&](Duration at) {
-    const double in_time = lag.ShareWithin(pending.due - at);
+    const double in_time = lag.ShareUpTo(pending.due - at);
     return Squared(1 - missing / shards) * (in_time + (1 - in_time) * answer_value.late);
   };
   Duration best = pending.elapsed;
--- a/src/query/answer_moment.h
+++ b/src/query/answer_timing.h
@@ -82,7 +82,7 @@
 /// gateway and building the answer.
 /// @return the best time to send the answer if no more results arrive meanwhile: `elapsed` or
 /// later.
-Duration BestMoment(const PendingAnswer& pending, const ArrivalCurve& arrivals,
-                    const RecentDurations& lag, const AnswerValue& answer_value = {});
+Duration BestAnswerTime(const PendingAnswer& pending, const ArrivalCurve& arrivals,
+                        const RecentDurations& lag, const AnswerValue& answer_value = {});
 
 }  // namespace pumicedyke::query
--- a/src/query/extra_order.cc
+++ b/src/query/extra_load_priority.cc
@@ -1,4 +1,4 @@
-#include "query/extra_order.h"
+#include "query/extra_load_priority.h"
 
 #include <xxhash.h>
 
@@ -27,23 +27,23 @@
          static_cast<double>(kRanks);
 }
 
-bool RankQualifies(double rank, std::vector<double> remaining, size_t may_miss) {
-  if (remaining.size() <= may_miss) {
+bool RankQualifies(double rank, std::vector<double> remaining, size_t max_missing) {
+  if (remaining.size() <= max_missing) {
     return true;
   }
-  const auto lowest = remaining.begin() + static_cast<std::ptrdiff_t>(may_miss);
+  const auto lowest = remaining.begin() + static_cast<std::ptrdiff_t>(max_missing);
   std::nth_element(remaining.begin(), lowest, remaining.end());
   return rank < *lowest / kScarceBudget;
 }
 
 bool ShouldReplace(const GatherProgress& progress, double remaining) {
-  return progress.uncovered > progress.may_miss || remaining >= kAmpleBudget;
+  return progress.uncovered > progress.max_missing || remaining >= kAmpleBudget;
 }
 
 bool ShouldHedge(bool refusals, double remaining) { return !refusals || remaining > kHedgeReserve; }
 
-size_t MayMiss(size_t shards, double min_coverage, size_t groups, size_t group,
-               std::string_view request_id) {
+size_t MaxMissing(size_t shards, double min_coverage, size_t groups, size_t group,
+                  std::string_view request_id) {
   const double spare = static_cast<double>(shards) * (1.0 - min_coverage) + kCoverageEpsilon;
   const auto spare_shards = static_cast<size_t>(std::max(0.0, std::floor(spare)));
   const size_t turn = (group + HashOf(request_id, Purpose::kRemainder)) % groups;
--- a/src/query/extra_order.h
+++ b/src/query/extra_load_priority.h
@@ -28,7 +28,7 @@
 /// Coverage of a gather as seen by one gateway.
 struct GatherProgress {
   /// Shards that may stay without a result, of those assigned to this gateway.
-  size_t may_miss = 0;
+  size_t max_missing = 0;
   /// Shards without a result so far.
   size_t uncovered = 0;
 };
@@ -40,8 +40,8 @@
 /// Returns whether a gather may charge the budget for shards whose leafs all refuse often. Decided
 /// once for each gather, so that a gather that was started is not abandoned half done.
 /// @param remaining remaining fractions of the budget, 0 to 1, one for each of these shards. The
-/// `may_miss` lowest ones are ignored.
-bool RankQualifies(double rank, std::vector<double> remaining, size_t may_miss);
+/// `max_missing` lowest ones are ignored.
+bool RankQualifies(double rank, std::vector<double> remaining, size_t max_missing);
 
 /// Returns whether to send another sub-request for such a shard, for a gather that qualifies.
 /// @param remaining remaining fraction of the budget of this shard, 0 to 1.
@@ -55,7 +55,7 @@
 /// coverage. The remainder of the division among the groups is assigned by a hash of the request
 /// ID.
 /// @param shards, min_coverage of the whole gather. @param groups 1 or more.
-size_t MayMiss(size_t shards, double min_coverage, size_t groups, size_t group,
-               std::string_view request_id);
+size_t MaxMissing(size_t shards, double min_coverage, size_t groups, size_t group,
+                  std::string_view request_id);
 
 }  // namespace pumicedyke::query
--- a/src/query/messages.h
+++ b/src/query/messages.h
@@ -169,7 +169,7 @@
   uint32_t sub_requests = 0;
   uint32_t extra_sub_requests = 0;
   /// Shards abandoned because the budget denied another sub-request.
-  uint32_t unpaid_shards = 0;
+  uint32_t budget_denied_shards = 0;
   /// For requests that are passed on unparsed: one for each included shard.
   std::vector<ShardPayload> payloads = {};
   /// The latest failure response of a leaf, if a shard is missing because of it.
--- a/src/query/request_answer.cc
+++ b/src/query/request_answer.cc
@@ -115,7 +115,7 @@
   }
   answer.sub_requests = sent_;
   answer.extra_sub_requests = extra_;
-  answer.unpaid_shards = abandoned_for_budget_;
+  answer.budget_denied_shards = abandoned_for_budget_;
   if (!answer.coverage.missing.empty() && plan_.repeatable) {
     answer.continuation =
         EncodeContinuation(request_.service, snapshot_id_, answer.coverage.missing);
--- a/src/query/request_budget.cc
+++ b/src/query/request_budget.cc
@@ -33,8 +33,8 @@
       options_.naive_retry_timeout.count() == 0 && options_.fixed_hedge_delay.count() == 0;
   const bool charged =
       kind == SendKind::kExtra || (kind == SendKind::kReplacement && options_.charge_replacements);
-  const double fraction = options_.accused ? kSuspectBudgetFraction : 1.0;
-  return !budgeted || !charged || BudgetOf(shard)->TrySpendPart(now, fraction);
+  const double fraction = options_.has_uncleared_losses ? kSuspectBudgetFraction : 1.0;
+  return !budgeted || !charged || BudgetOf(shard)->TrySpendFraction(now, fraction);
 }
 
 void RequestExecution::SetBudgetDenied(ShardProgress* shard, bool budget_denied) {
@@ -83,10 +83,11 @@
     std::vector<double> remaining;
     for (const ShardProgress& shard : shards_) {
       if (AllReplicasRefuseOften(now, shard)) {
-        remaining.push_back(BudgetOf(shard)->PartLeft(now));
+        remaining.push_back(BudgetOf(shard)->RemainingFraction(now));
       }
     }
-    qualifies_for_budget_ = RankQualifies(options_.rank, std::move(remaining), options_.may_miss);
+    qualifies_for_budget_ =
+        RankQualifies(options_.rank, std::move(remaining), options_.max_missing);
   }
   return *qualifies_for_budget_;
 }
@@ -96,12 +97,13 @@
   if (!AllReplicasRefuseOften(now, shard)) {
     return true;
   }
-  const GatherProgress progress{options_.may_miss, shards_.size() - covered_};
-  return QualifiesForBudget(now) && ShouldReplace(progress, BudgetOf(shard)->PartLeft(now));
+  const GatherProgress progress{options_.max_missing, shards_.size() - covered_};
+  return QualifiesForBudget(now) &&
+         ShouldReplace(progress, BudgetOf(shard)->RemainingFraction(now));
 }
 
 bool RequestExecution::MayHedge(Timestamp now, const ShardProgress& shard) const {
-  if (!options_.ask_refusing_again) {
+  if (!options_.retry_refusing_leafs) {
     return true;
   }
   const auto& replicas = shard.shard.replicas;
@@ -109,7 +111,7 @@
       std::any_of(replicas.begin(), replicas.end(), [&](const std::string& replica) {
         return context_.pool->RefusalRateOf(now, replica) >= kFrequentRefusalRate;
       });
-  return ShouldHedge(refusals, BudgetOf(shard)->PartLeft(now));
+  return ShouldHedge(refusals, BudgetOf(shard)->RemainingFraction(now));
 }
 
 }  // namespace pumicedyke::query
--- a/src/query/request_execution.cc
+++ b/src/query/request_execution.cc
@@ -119,8 +119,8 @@
   snapshot_unavailable_ |= shard->not_held >= shard->shard.replicas.size();
   SetWaiting(shard, false);
   SetBudgetDenied(shard, false);
-  if (options_.report_parts) {
-    new_gaps_.push_back({shard->shard.id, shard->reason});
+  if (options_.report_shard_results) {
+    new_missing_shards_.push_back({shard->shard.id, shard->reason});
   }
 }
 
@@ -295,7 +295,7 @@
     BudgetOf(*shard)->OnRegular(now, plan_.extra_load);
   }
   const SubRequestId id = context_.next_id();
-  const Duration budget = std::max(Duration(0), deadline_ - now - options_.hop);
+  const Duration budget = std::max(Duration(0), deadline_ - now - options_.hop_latency);
   actions_.sends.push_back({"", id, *leaf, request_.service, shard->shard.id, snapshot_id_,
                             request_.query, budget, request_.idempotency_key, plan_.repeatable});
   shard->attempts.push_back({id, *leaf, now, AttemptState::kPossiblyRunning, probe});
@@ -365,8 +365,9 @@
     attempt->state = refused                 ? AttemptState::kRefused
                      : reply.connection_lost ? AttemptState::kLost
                                              : AttemptState::kFailed;
-    attempt->transient_refusal = options_.ask_refusing_again && reply.status == LeafStatus::kShed &&
-                                 !context_.pool->Crowded(reply.leaf);
+    attempt->transient_refusal = options_.retry_refusing_leafs &&
+                                 reply.status == LeafStatus::kShed &&
+                                 !context_.pool->IsFull(reply.leaf);
     HandleRefusal(&shard, reply);
   }
   if (was_on_probation != OnProbation() || FailedProbation()) {
@@ -401,8 +402,8 @@
   shard->payload = reply.payload;
   shard->reason = MissingReason::kNone;
   ++covered_;
-  if (options_.report_parts && reply.payload != nullptr) {
-    new_parts_.push_back({shard->shard.id, reply.payload});
+  if (options_.report_shard_results && reply.payload != nullptr) {
+    new_shard_results_.push_back({shard->shard.id, reply.payload});
   }
   shard->results.insert(shard->results.end(), reply.results.begin(), reply.results.end());
   CancelOthers(now, shard, reply.id);
@@ -530,15 +531,15 @@
   }
   const size_t active = ActiveAttempts(shard);
   if (active == 0) {
-    return shard.next_round > now ? shard.next_round : now + options_.poll;
+    return shard.next_round > now ? shard.next_round : now + options_.poll_interval;
   }
   const Timestamp sent = shard.attempts.back().sent;
   if (options_.naive_retry_timeout.count() > 0) {
-    return std::max(sent + options_.naive_retry_timeout, now + options_.poll);
+    return std::max(sent + options_.naive_retry_timeout, now + options_.poll_interval);
   }
   const bool may_hedge =
       plan_.hedge && active == 1 && shard.shard.replicas.size() > 1 && MayAttemptAgain(shard);
-  return may_hedge ? std::max(sent + HedgeDelay(), now + options_.poll) : deadline_;
+  return may_hedge ? std::max(sent + HedgeDelay(), now + options_.poll_interval) : deadline_;
 }
 
 Timestamp RequestExecution::NextWake(Timestamp now) const {
@@ -549,7 +550,7 @@
   }
   const bool asks_program = program_ != nullptr && program_->has_decide();
   if (asks_program) {
-    wake = std::min(wake, now + options_.poll);
+    wake = std::min(wake, now + options_.poll_interval);
   }
   return std::max(wake, now);
 }
--- a/src/query/request_execution.h
+++ b/src/query/request_execution.h
@@ -18,7 +18,7 @@
 #include "common/types.h"
 #include "config/model.h"
 #include "policy/policy_program.h"
-#include "query/extra_order.h"
+#include "query/extra_load_priority.h"
 #include "query/messages.h"
 
 namespace pumicedyke::query {
@@ -33,9 +33,9 @@
   /// Treats a request as possibly run once bytes were handed to the connection.
   bool sent_tracking = true;
   /// Subtracted from the remaining time to get the budget of the leaf.
-  Duration hop = Milliseconds(1);
+  Duration hop_latency = Milliseconds(1);
   /// Interval for retrying unsent sub-requests and for calling a decide() program.
-  Duration poll = Milliseconds(2);
+  Duration poll_interval = Milliseconds(2);
   /// Compares leafs by their latency relative to the median of requests of the same kind; otherwise
   /// by one latency over all kinds.
   bool expect_median = false;
@@ -51,18 +51,18 @@
   /// Also charges the budget for sub-requests that replace refused ones.
   bool charge_replacements = false;
   /// Retries a leaf that refused although it has room after a short pause, as long as the budget
-  /// and its spending order (extra_order.h) allow it. For gathers, whose other shards may have run
-  /// meanwhile; otherwise the refusal is returned to the caller at once.
-  bool ask_refusing_again = false;
-  /// With `ask_refusing_again`: rank of this request among those that compete for the budget.
+  /// and its priority (extra_load_priority.h) allow it. For gathers, whose other shards may have
+  /// run meanwhile; otherwise the refusal is returned to the caller at once.
+  bool retry_refusing_leafs = false;
+  /// With `retry_refusing_leafs`: rank of this request among those that compete for the budget.
   double rank = 0;
-  /// With `ask_refusing_again`: shards that may stay without a result.
-  size_t may_miss = 0;
+  /// With `retry_refusing_leafs`: shards that may stay without a result.
+  size_t max_missing = 0;
   /// Charges the first sub-request of a shard like a hedge, since another gateway may have sent one
   /// already.
   bool charge_first = false;
-  /// Makes shard results available through TakeNewParts() as they arrive.
-  bool report_parts = false;
+  /// Makes shard results available through TakeNewShardResults() as they arrive.
+  bool report_shard_results = false;
   /// Sends no further attempt for a shard after one that may have run, until ReleaseAttempts() is
   /// called.
   bool hold_attempts = false;
@@ -73,7 +73,7 @@
   size_t max_lost_probes = 2;
   /// Earlier attempts of the request lost runs because their leafs disconnected, and none has
   /// succeeded since: the request may use only part of the budget.
-  bool accused = false;
+  bool has_uncleared_losses = false;
   /// The request is put on probation once its runs at this many leafs were lost and none succeeded.
   size_t losses_before_probation = 3;
   /// Baseline: retries after this timeout without a budget; zero means off.
@@ -140,10 +140,12 @@
   void DeclineRestart(Timestamp now);
 
   ExecutionActions TakeActions();
-  /// Returns the shard results since the last call; requires `report_parts`.
-  std::vector<ShardPayload> TakeNewParts() { return std::exchange(new_parts_, {}); }
-  /// Returns the shards abandoned since the last call; requires `report_parts`.
-  std::vector<MissingShard> TakeNewGaps() { return std::exchange(new_gaps_, {}); }
+  /// Returns the shard results since the last call; requires `report_shard_results`.
+  std::vector<ShardPayload> TakeNewShardResults() { return std::exchange(new_shard_results_, {}); }
+  /// Returns the shards abandoned since the last call; requires `report_shard_results`.
+  std::vector<MissingShard> TakeNewMissingShards() {
+    return std::exchange(new_missing_shards_, {});
+  }
   /// Returns when Advance() must be called next if no reply arrives before.
   Timestamp NextWake(Timestamp now) const;
 
@@ -307,8 +309,8 @@
   ExecutionActions actions_;
   /// Cached result of QualifiesForBudget().
   std::optional<bool> qualifies_for_budget_;
-  std::vector<ShardPayload> new_parts_;
-  std::vector<MissingShard> new_gaps_;
+  std::vector<ShardPayload> new_shard_results_;
+  std::vector<MissingShard> new_missing_shards_;
 };
 
 }  // namespace pumicedyke::query
--- a/src/query/shared_gather.cc
+++ b/src/query/shared_gather.cc
@@ -34,7 +34,7 @@
 bool SharedGather::IsSilent(Timestamp now, const PartialQuery& partial_query) const {
   const bool accepted = partial_query.state == PartialQueryState::kAccepted;
   return now - partial_query.last_contact >=
-         (accepted ? options_.silence_limit : options_.accept_patience);
+         (accepted ? options_.silence_limit : options_.accept_timeout);
 }
 
 void SharedGather::Advance(Timestamp now) {
@@ -46,7 +46,7 @@
 
 SharedGather::PartialQuery* SharedGather::WorkingQuery(Group* group) {
   for (PartialQuery& partial_query : group->partial_queries) {
-    if (partial_query.open() && !partial_query.stand_by) {
+    if (partial_query.open() && !partial_query.await_confirmation) {
       return &partial_query;
     }
   }
@@ -55,7 +55,7 @@
 
 SharedGather::PartialQuery* SharedGather::StandbyQuery(Group* group) {
   for (PartialQuery& partial_query : group->partial_queries) {
-    if (partial_query.open() && partial_query.stand_by) {
+    if (partial_query.open() && partial_query.await_confirmation) {
       return &partial_query;
     }
   }
@@ -69,7 +69,7 @@
   }
   if (PartialQuery* standby = StandbyQuery(&group); standby != nullptr && IsSilent(now, *standby)) {
     // It was not confirmed, so it used no attempt.
-    actions_.silent.push_back(standby->merger);
+    actions_.abandoned_mergers.push_back(standby->merger);
     actions_.cancels.push_back({standby->id, standby->merger, /*stop_work=*/true});
     standby->state = PartialQueryState::kUnused;
   }
@@ -88,7 +88,7 @@
   const std::string slow_merger = working == nullptr ? "" : working->merger;
   if (SendPartialQuery(now, index)) {
     if (!slow_merger.empty()) {
-      actions_.silent.push_back(slow_merger);
+      actions_.abandoned_mergers.push_back(slow_merger);
     }
     return;
   }
@@ -113,7 +113,7 @@
 }
 
 void SharedGather::AbandonMerger(Group* group, PartialQuery* partial_query) {
-  actions_.silent.push_back(partial_query->merger);
+  actions_.abandoned_mergers.push_back(partial_query->merger);
   actions_.cancels.push_back({partial_query->id, partial_query->merger, /*stop_work=*/true});
   MarkLost(group, partial_query);
 }
@@ -124,7 +124,7 @@
   const uint32_t max_attempts = std::max(1U, plan_.max_attempts);
   // A merger that was asked and has not answered counts as having sent once.
   const uint32_t attempts_used = group.attempts_used + (has_working ? 1 : 0);
-  const bool stand_by = attempts_used > 0;
+  const bool await_confirmation = attempts_used > 0;
   const bool may_ask =
       attempts_used < max_attempts && group.partial_queries.size() < options_.max_mergers;
   const std::optional<std::string> merger =
@@ -136,19 +136,20 @@
   const uint32_t attempts = max_attempts - attempts_used;
   group.tried.insert(*merger);
   group.partial_queries.push_back(
-      {id, index, *merger, attempts, now, now, PartialQueryState::kSent, stand_by});
+      {id, index, *merger, attempts, now, now, PartialQueryState::kSent, await_confirmation});
   group_of_[id] = index;
-  actions_.questions.push_back({id, index, *merger, attempts, /*again=*/stand_by, stand_by});
+  actions_.partial_queries.push_back(
+      {id, index, *merger, attempts, /*reassigned=*/await_confirmation, await_confirmation});
   return true;
 }
 
 void SharedGather::Accept(Timestamp now, Group* group, PartialQuery* partial_query) {
   partial_query->accepted = now;
-  if (partial_query->stand_by) {
+  if (partial_query->await_confirmation) {
     if (PartialQuery* slow_merger = WorkingQuery(group); slow_merger != nullptr) {
       AbandonMerger(group, slow_merger);
     }
-    partial_query->stand_by = false;
+    partial_query->await_confirmation = false;
     actions_.confirmations.push_back({partial_query->id, partial_query->merger});
   } else {
     if (PartialQuery* standby = StandbyQuery(group); standby != nullptr) {
@@ -199,7 +200,7 @@
   return nullptr;
 }
 
-void SharedGather::OnWord(Timestamp now, const wire::PartialAnswer& answer) {
+void SharedGather::OnPartialAnswer(Timestamp now, const wire::PartialAnswer& answer) {
   PartialQuery* partial_query = FindOpen(answer.id);
   if (partial_query == nullptr) {
     return;
@@ -238,7 +239,7 @@
 void SharedGather::MergePartialAnswer(Timestamp now, const Group& group,
                                       const wire::PartialAnswer& answer) {
   const size_t before = covered_;
-  for (const wire::PartialPart& part : answer.parts) {
+  for (const wire::ShardResult& part : answer.parts) {
     if (part.shard >= group.shards.count) {
       continue;
     }
@@ -249,7 +250,7 @@
   if (covered_ > before) {
     arrivals_.push_back({now - started_, covered_ - before});
   }
-  for (const wire::PartialGap& gap : answer.gaps) {
+  for (const wire::MissingShard& gap : answer.gaps) {
     if (gap.shard < group.shards.count) {
       Shard& shard = shards_[group.shards.first + gap.shard];
       shard.reason = static_cast<MissingReason>(gap.reason);
@@ -274,7 +275,7 @@
         continue;
       }
       merger_lost = true;
-      if (partial_query.stand_by) {
+      if (partial_query.await_confirmation) {
         partial_query.state = PartialQueryState::kUnused;
       } else {
         MarkLost(&group, &partial_query);
@@ -328,7 +329,7 @@
   }
   for (const Group& group : groups_) {
     for (const PartialQuery& partial_query : group.partial_queries) {
-      unknown_ |= partial_query.open() && !partial_query.stand_by;
+      unknown_ |= partial_query.open() && !partial_query.await_confirmation;
     }
   }
   const bool complete = outcome_.missing.empty();
@@ -341,7 +342,7 @@
     for (const PartialQuery& partial_query : group.partial_queries) {
       if (partial_query.open()) {
         actions_.cancels.push_back(
-            {partial_query.id, partial_query.merger, partial_query.stand_by});
+            {partial_query.id, partial_query.merger, partial_query.await_confirmation});
       }
     }
   }
@@ -361,16 +362,16 @@
 Timestamp SharedGather::GroupWake(Timestamp now, const Group& group) const {
   const bool has_standby =
       std::any_of(group.partial_queries.begin(), group.partial_queries.end(),
-                  [](const PartialQuery& q) { return q.open() && q.stand_by; });
+                  [](const PartialQuery& q) { return q.open() && q.await_confirmation; });
   Timestamp wake = deadline_;
   for (const PartialQuery& partial_query : group.partial_queries) {
     if (!partial_query.open()) {
       continue;
     }
     const bool accepted = partial_query.state == PartialQueryState::kAccepted;
-    const Timestamp slow_at = partial_query.last_contact + options_.accept_patience;
+    const Timestamp slow_at = partial_query.last_contact + options_.accept_timeout;
     const Timestamp silent_at = partial_query.last_contact + options_.silence_limit;
-    const bool known_slow = !accepted && !partial_query.stand_by && slow_at <= now;
+    const bool known_slow = !accepted && !partial_query.await_confirmation && slow_at <= now;
     // Nothing is decided about a slow merger before the merger on standby has answered or timed
     // out.
     if (!known_slow || !has_standby) {
@@ -394,7 +395,7 @@
   return std::max(wake, now);
 }
 
-std::vector<QuestionRecord> SharedGather::Questions() const {
+std::vector<PartialQueryRecord> SharedGather::PartialQueries() const {
   const auto name_of = [](PartialQueryState state) {
     switch (state) {
       case PartialQueryState::kSent:
@@ -411,10 +412,10 @@
         return "lost";
     }
   };
-  std::vector<QuestionRecord> records;
+  std::vector<PartialQueryRecord> records;
   for (const Group& group : groups_) {
     for (const PartialQuery& partial_query : group.partial_queries) {
-      QuestionRecord& record = records.emplace_back();
+      PartialQueryRecord& record = records.emplace_back();
       record.group = partial_query.group;
       record.merger = partial_query.merger;
       record.sent = partial_query.sent - started_;
--- a/src/query/shared_gather.h
+++ b/src/query/shared_gather.h
@@ -25,7 +25,7 @@
 #include "common/result_code.h"
 #include "common/types.h"
 #include "policy/policy_program.h"
-#include "query/answer_moment.h"
+#include "query/answer_timing.h"
 #include "query/messages.h"
 #include "wire/messages.h"
 
@@ -40,7 +40,7 @@
 struct SharedGatherOptions {
   /// A merger that has not accepted the partial query within this time is slow or stopped: another
   /// one is put on standby.
-  Duration accept_patience = Milliseconds(20);
+  Duration accept_timeout = Milliseconds(20);
   /// A merger that has accepted and then sends nothing for this long is abandoned. Mergers send a
   /// message at least every GatewayKnobs::sign_of_life.
   Duration silence_limit = Milliseconds(200);
@@ -49,15 +49,15 @@
 };
 
 /// Partial query for one group, to be sent to one merger.
-struct GroupQuestion {
+struct OutgoingPartialQuery {
   uint64_t id = 0;
   size_t group = 0;
   std::string merger;
   uint32_t max_attempts = 1;
   /// Another merger received the group before and may have sent sub-requests.
-  bool again = false;
+  bool reassigned = false;
   /// Nothing may be sent before the confirmation.
-  bool stand_by = false;
+  bool await_confirmation = false;
 };
 
 struct GroupCancel {
@@ -83,17 +83,17 @@
 };
 
 struct SharedGatherActions {
-  std::vector<GroupQuestion> questions;
+  std::vector<OutgoingPartialQuery> partial_queries;
   /// Partial queries that were accepted in time.
   std::vector<GroupConfirmation> confirmations;
   std::vector<GroupCancel> cancels;
   /// Mergers that were abandoned because they did not answer.
-  std::vector<std::string> silent;
+  std::vector<std::string> abandoned_mergers;
   std::optional<SharedOutcome> outcome;
 };
 
 /// Outcome of one partial query, for logs and diagnostics.
-struct QuestionRecord {
+struct PartialQueryRecord {
   size_t group = 0;
   std::string merger;
   Duration sent{};
@@ -120,12 +120,12 @@
 
   /// Sets the callback that is called whenever shard results have arrived. Without it, partial
   /// answers are sent at the end of the wait of the plan.
-  void SetDue(AnswerTimeCb due) { due_ = std::move(due); }
+  void SetAnswerTimeCallback(AnswerTimeCb due) { due_ = std::move(due); }
 
   /// Sends partial queries, abandons silent mergers, and answers when it is due.
   void Advance(Timestamp now);
   /// Ignores messages that belong to no open partial query.
-  void OnWord(Timestamp now, const wire::PartialAnswer& answer);
+  void OnPartialAnswer(Timestamp now, const wire::PartialAnswer& answer);
   /// Handles a lost connection to a merger.
   void OnMergerLost(Timestamp now, const std::string& merger);
   /// Cancels all partial queries because the client has disconnected.
@@ -140,7 +140,7 @@
   /// Returns the arrivals of shard results, in order of time.
   const std::vector<ShardArrivals>& arrivals() const { return arrivals_; }
   /// Returns all partial queries so far.
-  std::vector<QuestionRecord> Questions() const;
+  std::vector<PartialQueryRecord> PartialQueries() const;
 
  private:
   enum class PartialQueryState { kSent, kAccepted, kDone, kRefused, kUnused, kLost };
@@ -153,7 +153,7 @@
     Timestamp last_contact{};
     PartialQueryState state = PartialQueryState::kSent;
     /// The merger sends no sub-requests before it is confirmed.
-    bool stand_by = false;
+    bool await_confirmation = false;
     /// Arrival of the first message of the merger.
     std::optional<Timestamp> accepted = {};
     bool open() const {
--- a/src/registry/leaf_registry.cc
+++ b/src/registry/leaf_registry.cc
@@ -56,17 +56,17 @@
   });
 }
 
-ReportVerdict LeafRegistry::OnReport(Timestamp now, const LeafReport& report,
-                                     const std::string* other_holder) {
+ReportResult LeafRegistry::OnReport(Timestamp now, const LeafReport& report,
+                                    const std::string* other_holder) {
   const auto known = leafs_.find(report.record.leaf);
   const bool inserted = known == leafs_.end();
   const bool restarted = !inserted && report.record.born_ms > known->second.record.born_ms;
   if ((inserted || restarted) && !MayTakeAddress(now, report, other_holder)) {
-    return ReportVerdict::kUnconfirmed;
+    return ReportResult::kUnconfirmed;
   }
   Entry& entry = leafs_[report.record.leaf];
   if (!inserted && !restarted && IsStale(report, entry)) {
-    return ReportVerdict::kStale;
+    return ReportResult::kStale;
   }
   if (restarted) {
     DropPreviousIncarnation(&entry);
@@ -89,14 +89,14 @@
     entry.cold_until = cold_until;
   }
   if (!inserted && record == entry.record && !cold_changed) {
-    return ReportVerdict::kUnchanged;
+    return ReportResult::kUnchanged;
   }
   entry.record = std::move(record);
   RecordChange(&entry);
   if (restarted) {
-    return ReportVerdict::kReborn;
+    return ReportResult::kRestarted;
   }
-  return inserted ? ReportVerdict::kNew : ReportVerdict::kChanged;
+  return inserted ? ReportResult::kNew : ReportResult::kChanged;
 }
 
 bool LeafRegistry::OnDeparture(Timestamp now, const std::string& leaf, uint64_t born_ms) {
@@ -151,7 +151,7 @@
   return silent;
 }
 
-void LeafRegistry::ForgiveSilence(Timestamp now) {
+void LeafRegistry::ResetSilence(Timestamp now) {
   for (auto& [leaf, entry] : leafs_) {
     entry.last_heartbeat = now;
     reported_.insert(leaf);
@@ -210,7 +210,7 @@
   }
   for (auto it = removals_.rbegin(); it != removals_.rend() && it->version > version; ++it) {
     if (!leafs_.contains(it->leaf)) {
-      feed.gone.push_back(it->leaf);
+      feed.removed.push_back(it->leaf);
     }
   }
   return feed;
--- a/src/registry/leaf_registry.h
+++ b/src/registry/leaf_registry.h
@@ -42,7 +42,7 @@
   size_t retained_removals = 1000;
 };
 
-enum class ReportVerdict {
+enum class ReportResult {
   /// The heartbeat changed nothing.
   kUnchanged,
   kNew,
@@ -50,7 +50,7 @@
   /// A later heartbeat, or one of a later incarnation, has already arrived.
   kStale,
   /// A known leaf has restarted under its id; the state of the previous incarnation is dropped.
-  kReborn,
+  kRestarted,
   /// Another leaf holds the address and may still be alive. The report is not published yet.
   kUnconfirmed,
 };
@@ -62,8 +62,8 @@
   /// Handles a heartbeat.
   /// @param other_holder another leaf that the configuration has at the same address and that
   /// reports to another control machine; null if there is none.
-  ReportVerdict OnReport(Timestamp now, const LeafReport& report,
-                         const std::string* other_holder = nullptr);
+  ReportResult OnReport(Timestamp now, const LeafReport& report,
+                        const std::string* other_holder = nullptr);
   /// Marks this incarnation of the leaf as draining for good; late heartbeats do not revoke it.
   /// @param born_ms zero for the current incarnation.
   /// @return false if the leaf is unknown here or a later incarnation has replaced this one.
@@ -72,10 +72,10 @@
   std::vector<std::string> DropSilent(Timestamp now);
 
   /// Restarts the silence of all leafs, for example after a time in which they could not report.
-  void ForgiveSilence(Timestamp now);
+  void ResetSilence(Timestamp now);
 
   /// Returns the leafs that have reported since the last call.
-  std::set<std::string> TakeHeard() { return std::exchange(reported_, {}); }
+  std::set<std::string> TakeReported() { return std::exchange(reported_, {}); }
   /// Returns the leafs that were dropped or replaced since the last call.
   std::set<std::string> TakeRemoved() { return std::exchange(removed_, {}); }
 
--- a/src/routing/homes.h
+++ b/src/routing/allowed_regions.h
@@ -14,6 +14,7 @@
 /// @param tenant null if the request has no tenant.
 /// @return empty if any region is allowed; unset if route and tenant have no region in common, so
 /// that no leaf may get the request.
-std::optional<std::set<std::string>> HomesOf(const Route& route, const tenants::Tenant* tenant);
+std::optional<std::set<std::string>> AllowedRegionsOf(const Route& route,
+                                                      const tenants::Tenant* tenant);
 
 }  // namespace pumicedyke::routing
--- a/src/routing/route_table.h
+++ b/src/routing/route_table.h
@@ -49,7 +49,7 @@
   double min_coverage = 1;
 
   /// Allowed regions of the requests; empty means any.
-  std::set<std::string> homes;
+  std::set<std::string> allowed_regions;
   /// Whether requests need no API key even if the document has tenants.
   bool open = false;
 
--- a/src/server/control_dialect_calls.cc
+++ b/src/server/control_dialect_calls.cc
@@ -89,7 +89,7 @@
     responder.Send(dialect_->WriteAccepted());
   };
   server_->Submit(net::EventLoop::Now(), Await(on_reply), change);
-  CarryOut();
+  DispatchOutput();
 }
 
 void ControlProcess::Run(control::PutDocument command, http::Responder responder) {
@@ -114,7 +114,7 @@
     }
   };
   server_->ReadDocument(net::EventLoop::Now(), Await(on_reply));
-  CarryOut();
+  DispatchOutput();
 }
 
 void ControlProcess::Run(control::ReportLeaf command, http::Responder responder) {
@@ -126,7 +126,7 @@
   }
   const std::string leaf = command.report.record.leaf;
   const uint64_t born_ms = command.report.record.born_ms;
-  if (IsFormerLife(leaf, born_ms)) {
+  if (IsPreviousIncarnation(leaf, born_ms)) {
     // Accepted so that it is not reported again: the leaf has restarted since.
     LogEvent("leaf_former_life",
              {{"leaf", leaf}, {"born_ms", born_ms}, {"sequence", command.report.sequence}});
@@ -147,20 +147,20 @@
   }
   command.report.record.draining |= retired;
   const std::string* other_leaf = OtherLeafAt(server_->state().config(), command.report.record);
-  const registry::ReportVerdict verdict = discovery_->OnLeafReport(now, command.report, other_leaf);
-  if (verdict == registry::ReportVerdict::kUnconfirmed) {
+  const registry::ReportResult result = discovery_->OnLeafReport(now, command.report, other_leaf);
+  if (result == registry::ReportResult::kUnconfirmed) {
     LogEvent("leaf_unconfirmed", {{"leaf", leaf},
                                   {"address", command.report.record.address},
                                   {"sequence", command.report.sequence}});
   }
-  if (verdict == registry::ReportVerdict::kReborn) {
+  if (result == registry::ReportResult::kRestarted) {
     LogEvent("leaf_reborn", {{"leaf", leaf},
                              {"address", command.report.record.address},
                              {"born_ms", born_ms},
                              {"sequence", command.report.sequence}});
   }
   responder.Send(dialect_->WriteAccepted());
-  CarryOut();
+  DispatchOutput();
 }
 
 void ControlProcess::Run(const control::RetireLeaf& command, http::Responder responder) {
@@ -176,14 +176,14 @@
   });
 }
 
-bool ControlProcess::IsFormerLife(const std::string& leaf, uint64_t born_ms) const {
+bool ControlProcess::IsPreviousIncarnation(const std::string& leaf, uint64_t born_ms) const {
   const wire::LeafRecord* known = discovery_->registry().Find(leaf);
   const bool former_here = known != nullptr && born_ms < known->born_ms;
-  return former_here || server_->state().config().IsFormerLife(leaf, born_ms);
+  return former_here || server_->state().config().IsPreviousIncarnation(leaf, born_ms);
 }
 
 bool ControlProcess::KnowsZone(const std::string& zone) const {
-  if (settings_.regions.empty() || settings_.regions.Knows(zone)) {
+  if (settings_.regions.empty() || settings_.regions.Contains(zone)) {
     return true;
   }
   const auto& leafs = server_->state().config().reported();
@@ -191,7 +191,7 @@
                      [&zone](const auto& item) { return item.second.zone == zone; });
 }
 
-void ControlProcess::Run(const control::OrderZone& command, http::Responder responder) {
+void ControlProcess::Run(const control::SetZoneEvacuation& command, http::Responder responder) {
   if (!KnowsZone(command.zone)) {
     responder.Send(dialect_->WriteRefusal(
         MakeStatus(ResultCode::kUnknownObject, "there is no zone '" + command.zone + "'")));
@@ -233,7 +233,7 @@
     responder.Send(status.ok() ? dialect_->WriteAccepted() : dialect_->WriteRefusal(status));
   };
   server_->Submit(net::EventLoop::Now(), Await(on_reply), change);
-  CarryOut();
+  DispatchOutput();
 }
 
 void ControlProcess::Run(const control::FindGateways& command, http::Responder responder) {
--- a/src/server/control_log.cc
+++ b/src/server/control_log.cc
@@ -27,10 +27,10 @@
   LogEvent(stops ? "quarantine_proposed" : "release_proposed",
            {{"identity", ToText(proposal.change.request)},
             {"reason", proposal.reason},
-            {"leafs", proposal.verdict.leafs},
-            {"attempts", proposal.verdict.attempts},
-            {"moments", proposal.verdict.moments},
-            {"share", proposal.verdict.share}});
+            {"leafs", proposal.finding.leafs},
+            {"attempts", proposal.finding.attempts},
+            {"moments", proposal.finding.time_points},
+            {"share", proposal.finding.share}});
 }
 
 void ControlLog::LogQuarantineChanges(const config::ConfigState& config) {
--- a/src/server/control_operator_calls.cc
+++ b/src/server/control_operator_calls.cc
@@ -43,10 +43,10 @@
   }
   if (request.path == "/v1/status" && request.method == "GET") {
     server_->ReadStatus(now, Await(SendReply(std::move(responder))));
-    CarryOut();
+    DispatchOutput();
   } else if (request.path == "/v1/config" && request.method == "GET") {
     ReadConfig(now, std::move(responder));
-    CarryOut();
+    DispatchOutput();
   } else if (request.path == "/v1/changes" && request.method == "POST") {
     OnChange(request, std::move(responder));
   } else {
@@ -87,7 +87,7 @@
     }
   }
   server_->Submit(net::EventLoop::Now(), Await(SendReply(std::move(responder))), *change);
-  CarryOut();
+  DispatchOutput();
 }
 
 std::string ControlProcess::MetricsText(Timestamp now) const {
--- a/src/server/control_process.cc
+++ b/src/server/control_process.cc
@@ -58,7 +58,7 @@
 }
 
 /// Derives the id of an initial member, so that every machine computes the same ids.
-MemberId FirstMemberId(const std::string& cluster, const std::string& machine) {
+MemberId InitialMemberId(const std::string& cluster, const std::string& machine) {
   const std::string text = cluster + "/" + machine;
   return XXH64(text.data(), text.size(), 1) | 1;
 }
@@ -137,13 +137,13 @@
   }
   wire::SnapshotData initial;
   for (const Machine& machine : InitialMachines(settings)) {
-    initial.members.push_back({FirstMemberId(settings.cluster, machine.name), machine.name,
+    initial.members.push_back({InitialMemberId(settings.cluster, machine.name), machine.name,
                                machine.address, /*voter=*/true});
   }
   storage::PosixFileSystem files(settings.data_folder);
   storage::LogStorage storage(&files, {});
   return storage.Format(
-      {FirstMemberId(settings.cluster, settings.machine), settings.cluster, settings.machine},
+      {InitialMemberId(settings.cluster, settings.machine), settings.cluster, settings.machine},
       initial);
 }
 
@@ -223,7 +223,7 @@
   if (server_ != nullptr) {
     // Requests pending at the failed replica are answered with "no quorum".
     server_->AbandonPending();
-    CarryOut();
+    DispatchOutput();
   }
   const wire::Identity& identity = opened->identity;
   LogEvent("recovered", {{"member", identity.member},
@@ -332,7 +332,7 @@
   discovery_->SetControlAddresses(std::move(addresses));
   discovery_->Tick(now, server_->IsCurrent(now));
   CommitLeafs(now);
-  CarryOut();
+  DispatchOutput();
   log_.OnState(now, *server_, *discovery_);
   if (stop_.started() && stop_.Done(now, server_->Drained() && waiting_.empty())) {
     loop_->Stop();
@@ -358,7 +358,7 @@
   }
 }
 
-void ControlProcess::CarryOut() {
+void ControlProcess::DispatchOutput() {
   control::ControlOutput output = server_->TakeOutput();
   for (const control::PeerMessage& message : output.peers) {
     SendToPeer(message.address, message.envelope);
@@ -416,7 +416,7 @@
   }
   if (const auto* presence = std::get_if<wire::GatewayPresence>(&envelope.body)) {
     discovery_->OnPresence(now, session, *presence);
-    CarryOut();
+    DispatchOutput();
     return;
   }
   const bool from_node = std::holds_alternative<wire::NodeHello>(envelope.body) ||
@@ -427,7 +427,7 @@
   } else {
     server_->OnPeerMessage(now, envelope);
   }
-  CarryOut();
+  DispatchOutput();
 }
 
 void ControlProcess::Reload() {
@@ -439,7 +439,7 @@
   LogEvent("reloaded", {{"seeds", settings->seeds}});
   settings_.seeds = settings->seeds;
   if (server_ != nullptr) {
-    server_->LearnSeeds(settings->seeds);
+    server_->AddSeeds(settings->seeds);
   }
 }
 
@@ -457,7 +457,7 @@
     }
   }
   server_->StartShutdown(now);
-  CarryOut();
+  DispatchOutput();
 }
 
 }  // namespace pumicedyke::server
--- a/src/server/control_process.h
+++ b/src/server/control_process.h
@@ -104,7 +104,7 @@
   /// Opens the listening sockets.
   absl::Status Listen();
   Timestamp Tick(Timestamp now);
-  void CarryOut();
+  void DispatchOutput();
   void SendToSessions(const control::SessionMessage& message);
   void SendToPeer(const std::string& address, const wire::Envelope& envelope);
   void OnFrame(uint64_t session, const wire::Envelope& envelope);
@@ -122,10 +122,10 @@
   void Run(const control::GetDocument& command, http::Responder responder);
   void Run(control::ReportLeaf command, http::Responder responder);
   /// Whether a later incarnation of the leaf is known.
-  bool IsFormerLife(const std::string& leaf, uint64_t born_ms) const;
+  bool IsPreviousIncarnation(const std::string& leaf, uint64_t born_ms) const;
   void Run(const control::RetireLeaf& command, http::Responder responder);
   void Run(const control::FindGateways& command, http::Responder responder);
-  void Run(const control::OrderZone& command, http::Responder responder);
+  void Run(const control::SetZoneEvacuation& command, http::Responder responder);
   /// Submits a zone order against the zone's known revision. Resubmits it if that revision was out
   /// of date, until `until`: by then the caller has turned to another machine.
   void SubmitZoneOrder(config::Change change, Timestamp until, http::Responder responder);
--- a/src/server/gateway_log.cc
+++ b/src/server/gateway_log.cc
@@ -31,14 +31,14 @@
 }
 
 /// Lists all partial queries to other gateways, since a failed shard is traced from here.
-Json PartialQueriesJson(const std::vector<query::QuestionRecord>& questions) {
+Json PartialQueriesJson(const std::vector<query::PartialQueryRecord>& partial_queries) {
   Json list = Json::array();
-  for (const query::QuestionRecord& question : questions) {
-    list.push_back({{"group", question.group},
-                    {"merger", question.merger},
-                    {"sent_ms", ToMilliseconds(question.sent)},
-                    {"accepted_after_ms", OptionalJson(question.accepted_after)},
-                    {"state", question.state}});
+  for (const query::PartialQueryRecord& partial_query : partial_queries) {
+    list.push_back({{"group", partial_query.group},
+                    {"merger", partial_query.merger},
+                    {"sent_ms", ToMilliseconds(partial_query.sent)},
+                    {"accepted_after_ms", OptionalJson(partial_query.accepted_after)},
+                    {"state", partial_query.state}});
   }
   return list;
 }
@@ -82,7 +82,7 @@
   if (!limiter_.Allow(now.time_since_epoch() / kSecond)) {
     return false;
   }
-  if (const uint64_t left_out = limiter_.TakeLeftOut(); left_out > 0) {
+  if (const uint64_t left_out = limiter_.TakeSuppressed(); left_out > 0) {
     LogEvent("lines_left_out", {{"lines", left_out}, {"dropped", DroppedLogLines()}});
   }
   return true;
@@ -113,9 +113,9 @@
                                 {"config_age_ms", ToMilliseconds(trace.config_age)},
                                 {"retry_after_ms", ToMilliseconds(answer.retry_after)},
                                 {"extra", trace.extra_sub_requests},
-                                {"unpaid", trace.unpaid_shards},
+                                {"unpaid", trace.budget_denied_shards},
                                 {"missing", MissingJson(trace.missing)},
-                                {"questions", PartialQueriesJson(trace.questions)},
+                                {"questions", PartialQueriesJson(trace.partial_queries)},
                                 {"attempts", AttemptsJson(trace.attempts, sampled)}});
 }
 
@@ -133,12 +133,12 @@
                                 {"elapsed_ms", ToMilliseconds(trace.elapsed)},
                                 {"shards", trace.shards},
                                 {"extra", trace.extra_sub_requests},
-                                {"unpaid", trace.unpaid_shards},
+                                {"unpaid", trace.budget_denied_shards},
                                 {"missing", MissingJson(trace.missing)},
                                 {"attempts", AttemptsJson(trace.attempts, sampled)}});
 }
 
-void GatewayLog::OnClientGone(Timestamp now, const std::string& request_id) {
+void GatewayLog::OnClientDisconnected(Timestamp now, const std::string& request_id) {
   if (Allow(now)) {
     LogEvent("client_left", {{"request", request_id}});
   }
@@ -162,16 +162,16 @@
   for (const RequestIdentity& request : report.succeeded) {
     succeeded.Add(ToText(request));
   }
-  NameList answering;
-  for (const std::string& leaf : report.answering) {
-    answering.Add(leaf);
+  NameList alive_leafs;
+  for (const std::string& leaf : report.alive_leafs) {
+    alive_leafs.Add(leaf);
   }
   LogEvent("runs_reported", {{"number", report.number},
                              {"age_ms", ToMilliseconds(report.age)},
                              {"lost_at", lost.ToJson()},
                              {"identities", identities.ToJson()},
                              {"succeeded", succeeded.ToJson()},
-                             {"answering", answering.ToJson()}});
+                             {"answering", alive_leafs.ToJson()}});
 }
 
 void GatewayLog::OnControlLink(const std::string& address, bool up) {
@@ -235,20 +235,20 @@
 }
 
 void GatewayLog::LogAccountChanges(Timestamp now, const gateway::GatewayServer& server) {
-  const limits::LimitKeeper& keeper = server.limits().keeper();
-  if (keeper.changes() == logged_account_changes_ || now - accounts_logged_at_ < kLeafsInterval) {
+  const limits::LimitLender& lender = server.limits().lender();
+  if (lender.changes() == logged_account_changes_ || now - accounts_logged_at_ < kLeafsInterval) {
     return;
   }
   accounts_logged_at_ = now;
-  logged_account_changes_ = keeper.changes();
+  logged_account_changes_ = lender.changes();
   NameList first;
   NameList second;
   NameList settling;
-  for (const limits::AccountFigures& account : keeper.Figures()) {
+  for (const limits::AccountStats& account : lender.Stats()) {
     const std::string name = account.account.tenant + "/" + std::to_string(account.account.part);
     if (!account.settled) {
       settling.Add(name);
-    } else if (account.role == limits::KeeperRole::kFirst) {
+    } else if (account.role == limits::LenderRole::kPrimary) {
       first.Add(name);
     } else {
       second.Add(name);
--- a/src/server/gateway_log.h
+++ b/src/server/gateway_log.h
@@ -18,7 +18,7 @@
   void OnAnswer(Timestamp now, const gateway::GatewayAnswer& answer, int status);
   /// Logs a partial query that was executed for another gateway.
   void OnPartial(Timestamp now, const gateway::PartialTrace& trace);
-  void OnClientGone(Timestamp now, const std::string& request_id);
+  void OnClientDisconnected(Timestamp now, const std::string& request_id);
   /// Logs a report of lost runs to control, by leaf and request.
   void OnRunReport(Timestamp now, const wire::RunReport& report);
   void OnControlLink(const std::string& address, bool up);
--- a/src/server/gateway_metrics.cc
+++ b/src/server/gateway_metrics.cc
@@ -52,9 +52,9 @@
   if (trace.due.has_value()) {
     RecordStep(&counts, "overdue", trace.decided - *trace.due);
   }
-  for (const query::QuestionRecord& question : trace.questions) {
-    if (question.accepted_after.has_value()) {
-      RecordStep(&counts, "accept", *question.accepted_after);
+  for (const query::PartialQueryRecord& partial_query : trace.partial_queries) {
+    if (partial_query.accepted_after.has_value()) {
+      RecordStep(&counts, "accept", *partial_query.accepted_after);
     }
   }
 }
@@ -141,7 +141,7 @@
              static_cast<double>(client.in_flight()));
   page.Counter("pumicedyke_gateway_clients_gone_total",
                "Clients that disconnected before their answer.",
-               static_cast<double>(clients_gone_));
+               static_cast<double>(disconnected_clients_));
   page.Counter("pumicedyke_gateway_control_lost_total", "Lost connections to control machines.",
                static_cast<double>(control_lost_));
   page.Counter("pumicedyke_log_lines_dropped_total",
--- a/src/server/gateway_metrics.h
+++ b/src/server/gateway_metrics.h
@@ -31,7 +31,7 @@
   /// @param now time by which the answer was written.
   void OnAnswerWritten(Timestamp now, const gateway::GatewayAnswer& answer);
   void OnPartial(const gateway::PartialTrace& partial);
-  void OnClientGone() { ++clients_gone_; }
+  void OnClientDisconnected() { ++disconnected_clients_; }
   void OnControlLost() { ++control_lost_; }
 
   /// Returns the page in the Prometheus text format. @param now on the gateway's clock.
@@ -50,7 +50,7 @@
   static constexpr size_t kMaxRoutes = 200;
 
   std::map<std::string, RouteCounts> routes_;
-  uint64_t clients_gone_ = 0;
+  uint64_t disconnected_clients_ = 0;
   uint64_t control_lost_ = 0;
 };
 
--- a/src/server/gateway_process.cc
+++ b/src/server/gateway_process.cc
@@ -56,7 +56,7 @@
   settings.extra_load.window =
       Milliseconds(file.Integer("extra_load_window_ms", 10000, 100, kMaxMilliseconds));
   settings.extra_load.ratio = file.Number("extra_load_ratio", 0.1, 0, 10);
-  settings.extra_load.allowance = file.Number("extra_load_allowance", 10, 0, 1e9);
+  settings.extra_load.burst = file.Number("extra_load_allowance", 10, 0, 1e9);
   settings.entry.key_lease.revocation_bound =
       Milliseconds(file.Integer("revocation_bound_ms", 0, 0, kMaxMilliseconds));
   limits::LimitBound& limit = settings.entry.limits.bound;
@@ -144,7 +144,7 @@
   directory_http_ = std::make_unique<http::HttpServer>(
       loop_, http::HttpServerOptions{},
       [this](const http::HttpRequest& request, http::Responder responder) {
-        if (!dialect_->IsDirectoryQuestion(request)) {
+        if (!dialect_->IsDirectoryRequest(request)) {
           responder.Send(dialect_->WriteRefusal(
               MakeStatus(ResultCode::kUnknownPath, request.method + " " + request.path)));
           return;
@@ -168,7 +168,7 @@
   peer_server_ = std::make_unique<net::FrameServer>(
       loop_,
       [this](uint64_t session, wire::Envelope envelope) {
-        OnPeerQuestion(session, std::move(envelope));
+        OnPeerRequest(session, std::move(envelope));
       },
       [this](uint64_t session) {
         partial_queries_.CloseSession(session);
@@ -178,23 +178,26 @@
   return peer_server_->Listen(settings_.peer_listen);
 }
 
-void GatewayProcess::OnPeerQuestion(uint64_t session, wire::Envelope envelope) {
+void GatewayProcess::OnPeerRequest(uint64_t session, wire::Envelope envelope) {
   ScheduleDispatch();
   if (const auto* cancel = std::get_if<wire::PartialCancel>(&envelope.body)) {
     if (partial_queries_.Cancel(session, cancel->id)) {
       return;
     }
   }
-  gateway::ArrivedQuestion question{session, std::move(envelope), loop_->earliest_arrival()};
-  if (!partial_queries_.Add(&question)) {
-    server_->OnPeerQuestion(net::EventLoop::Now(), session, question.envelope, question.arrived);
+  gateway::ArrivedPartialQuery partial_query{session, std::move(envelope),
+                                             loop_->earliest_arrival()};
+  if (!partial_queries_.Add(&partial_query)) {
+    server_->OnPeerRequest(net::EventLoop::Now(), session, partial_query.envelope,
+                           partial_query.arrived);
   }
 }
 
 void GatewayProcess::StartPartialQueries() {
-  while (const std::optional<gateway::ArrivedQuestion> question = partial_queries_.Take()) {
-    server_->OnPeerQuestion(net::EventLoop::Now(), question->session, question->envelope,
-                            question->arrived);
+  while (const std::optional<gateway::ArrivedPartialQuery> partial_query =
+             partial_queries_.Take()) {
+    server_->OnPeerRequest(net::EventLoop::Now(), partial_query->session, partial_query->envelope,
+                           partial_query->arrived);
   }
 }
 
@@ -214,7 +217,7 @@
     Reload();
   }
   server_->Tick(now);
-  CarryOut();
+  DispatchOutput();
   ApplyLimits();
   log_.OnState(now, *server_);
   if (stop_.started() && stop_.Done(now, server_->Drained() && unlogged_answers_ == 0)) {
@@ -242,11 +245,11 @@
 void GatewayProcess::ScheduleDispatch() {
   if (!dispatch_scheduled_) {
     dispatch_scheduled_ = true;
-    loop_->Defer([this] { CarryOut(); });
+    loop_->Defer([this] { DispatchOutput(); });
   }
 }
 
-void GatewayProcess::CarryOut() {
+void GatewayProcess::DispatchOutput() {
   dispatch_scheduled_ = false;
   StartPartialQueries();
   gateway::GatewayOutput output = server_->TakeOutput();
@@ -311,7 +314,7 @@
 void GatewayProcess::SendToLeaf(gateway::LeafSend send) {
   http::ClientRequest request = dialect_->WriteLeafRequest(send);
   request.priority = send.priority;
-  request.kept_connections = send.kept_connections;
+  request.retained_connections = send.retained_connections;
   const SubRequestId id = send.id;
   const std::string leaf = send.leaf;
   const auto on_done = [this, send = std::move(send)](http::ClientResponse response) {
@@ -334,7 +337,7 @@
     }
   }
   for (const http::HttpClient::CallId call : calls) {
-    client_->EndUnsent(call);
+    client_->CancelUnsent(call);
   }
 }
 
@@ -394,11 +397,11 @@
     peer = std::make_unique<net::FrameClient>(
         loop_, address,
         [this, address](const wire::Envelope& envelope) {
-          server_->OnPeerWord(net::EventLoop::Now(), address, envelope);
+          server_->OnPeerReply(net::EventLoop::Now(), address, envelope);
           ScheduleDispatch();
         },
         [this, address] {
-          server_->OnPeerLost(net::EventLoop::Now(), address);
+          server_->OnPeerDisconnected(net::EventLoop::Now(), address);
           ScheduleDispatch();
         });
   }
@@ -421,9 +424,9 @@
   const RequestId id{next_request_++};
   responder.WatchClient([this, id, request_id = payload->request_id] {
     waiting_.erase(id);
-    metrics_.OnClientGone();
-    log_.OnClientGone(net::EventLoop::Now(), request_id);
-    server_->OnClientGone(net::EventLoop::Now(), id);
+    metrics_.OnClientDisconnected();
+    log_.OnClientDisconnected(net::EventLoop::Now(), request_id);
+    server_->OnClientDisconnected(net::EventLoop::Now(), id);
     ScheduleDispatch();
   });
   waiting_.emplace(id, std::move(responder));
@@ -440,7 +443,7 @@
     return;
   }
   LogEvent("reloaded", {{"control", settings->control}});
-  server_->LearnControl(settings->control);
+  server_->AddControlMachines(settings->control);
 }
 
 void GatewayProcess::Stop() {
@@ -448,7 +451,7 @@
   const Timestamp now = net::EventLoop::Now();
   stop_.Start(now, http_.get());
   server_->StartDraining(now);
-  CarryOut();
+  DispatchOutput();
 }
 
 }  // namespace pumicedyke::server
--- a/src/server/gateway_process.h
+++ b/src/server/gateway_process.h
@@ -9,7 +9,7 @@
 
 #include "gateway/dialect.h"
 #include "gateway/gateway_server.h"
-#include "gateway/question_queue.h"
+#include "gateway/partial_query_queue.h"
 #include "http/http_client.h"
 #include "http/http_server.h"
 #include "net/event_loop.h"
@@ -72,7 +72,7 @@
     std::string leaf;
   };
   Timestamp Tick(Timestamp now);
-  void CarryOut();
+  void DispatchOutput();
   /// Dispatches output after the current event has been handled.
   void ScheduleDispatch();
   void SendAnswer(gateway::GatewayAnswer answer);
@@ -88,7 +88,7 @@
   void OnHttp(http::HttpRequest request, http::Responder responder);
   absl::Status ListenForMetrics();
   absl::Status ListenForDirectory();
-  void OnPeerQuestion(uint64_t session, wire::Envelope envelope);
+  void OnPeerRequest(uint64_t session, wire::Envelope envelope);
   /// Starts the partial queries of this loop iteration, the most urgent first.
   void StartPartialQueries();
   void OnLinkChange(const gateway::ControlLinkChange& change);
@@ -106,7 +106,7 @@
   std::unique_ptr<net::FrameServer> peer_server_;
   /// Connections to other gateways, by address.
   std::map<std::string, std::unique_ptr<net::FrameClient>> peers_;
-  gateway::QuestionQueue partial_queries_;
+  gateway::PartialQueryQueue partial_queries_;
   std::map<RequestId, http::Responder> waiting_;
   std::map<SubRequestId, LeafCall> calls_;
   /// Number of sent answers that are not logged yet.
--- a/src/server/node_process.cc
+++ b/src/server/node_process.cc
@@ -98,7 +98,7 @@
   options.seed = *incarnation;
   options.max_config_age = settings_.max_config_age;
   options.wait_for_platform = !settings_.platform.empty();
-  options.knobs.first_report_patience = kFirstReportTimeout;
+  options.knobs.first_report_timeout = kFirstReportTimeout;
   options.max_in_progress = static_cast<size_t>(settings_.max_in_progress);
   server_ = std::make_unique<node::NodeServer>(options, net::EventLoop::Now());
   client_ = std::make_unique<http::HttpClient>(
@@ -125,7 +125,7 @@
   server_->Tick(now);
   PollHealth(now);
   PollPlatform(now);
-  CarryOut();
+  DispatchOutput();
   if (stop_.started() && stop_.Done(now, server_->Drained())) {
     loop_->Stop();
   }
@@ -133,7 +133,7 @@
   return stop_.started() ? now + kStopPoll : server_->NextWake(now);
 }
 
-void NodeProcess::CarryOut() {
+void NodeProcess::DispatchOutput() {
   node::NodeOutput output = server_->TakeOutput();
   for (const query::LeafRequest& request : output.sends) {
     SendToLeaf(request);
@@ -184,7 +184,7 @@
     }
     reply->leaf = request.leaf;
     server_->OnLeafReply(net::EventLoop::Now(), *reply);
-    CarryOut();
+    DispatchOutput();
   });
 }
 
@@ -208,7 +208,7 @@
         loop_, settings_.control[control_index_],
         [this](const wire::Envelope& message) {
           server_->OnControlMessage(net::EventLoop::Now(), message);
-          loop_->Post([this] { CarryOut(); });
+          loop_->Post([this] { DispatchOutput(); });
         },
         [this] { server_->OnControlDisconnected(net::EventLoop::Now()); });
   }
@@ -262,7 +262,7 @@
   const RequestId id{next_request_++};
   waiting_.emplace(id, std::move(responder));
   server_->OnCallerRequest(net::EventLoop::Now(), id, *parsed);
-  CarryOut();
+  DispatchOutput();
 }
 
 void NodeProcess::PollHealth(Timestamp now) {
--- a/src/server/node_process.h
+++ b/src/server/node_process.h
@@ -45,7 +45,7 @@
 
  private:
   Timestamp Tick(Timestamp now);
-  void CarryOut();
+  void DispatchOutput();
   void SendToLeaf(const query::LeafRequest& request);
   void CancelAtLeaf(const query::SubRequestCancel& cancel);
   void SendToControl(const wire::Envelope& envelope);
--- a/src/sim/control_host.cc
+++ b/src/sim/control_host.cc
@@ -23,7 +23,7 @@
       callbacks_(std::move(callbacks)),
       disk_(seed) {}
 
-MemberId ControlHost::FirstMemberId(const std::string& machine) const {
+MemberId ControlHost::InitialMemberId(const std::string& machine) const {
   for (size_t i = 0; i < founders_.size(); ++i) {
     if (founders_[i] == machine) {
       return i + 1;
@@ -35,10 +35,10 @@
 void ControlHost::Format() {
   wire::SnapshotData initial;
   for (const std::string& machine : founders_) {
-    initial.members.push_back({FirstMemberId(machine), machine, machine, /*voter=*/true});
+    initial.members.push_back({InitialMemberId(machine), machine, machine, /*voter=*/true});
   }
   storage::LogStorage storage(&disk_, {});
-  storage.Format({FirstMemberId(name()), kCluster, name()}, initial).IgnoreError();
+  storage.Format({InitialMemberId(name()), kCluster, name()}, initial).IgnoreError();
 }
 
 void ControlHost::Start() {
@@ -75,7 +75,7 @@
       options, *identity, storage_.get(), std::move(recovered), seed_ * 1000 + starts_, LocalNow());
   open_tickets_ = 0;
   RunAfter(kTickInterval, [this] { Tick(); });
-  CarryOut();
+  DispatchOutput();
 }
 
 void ControlHost::Kill() {
@@ -95,7 +95,7 @@
   stopped_ = std::move(done);
   stop_not_before_ = LocalNow() + kStopGrace;
   server_->StartShutdown(LocalNow());
-  CarryOut();
+  DispatchOutput();
   if (disabled_.contains("drain-before-exit")) {
     std::function<void()> stopped = std::move(stopped_);
     Kill();
@@ -106,7 +106,7 @@
 void ControlHost::Tick() {
   server_->SetWallClock(LocalNow().time_since_epoch().count() / 1000);
   server_->Tick(LocalNow());
-  CarryOut();
+  DispatchOutput();
   RunAfter(kTickInterval, [this] { Tick(); });
   CheckPlannedStop();
 }
@@ -121,7 +121,7 @@
   }
 }
 
-void ControlHost::CarryOut() {
+void ControlHost::DispatchOutput() {
   control::ControlOutput output = server_->TakeOutput();
   for (const control::PeerMessage& message : output.peers) {
     callbacks_.to_peer(message.address, message.envelope);
@@ -144,14 +144,14 @@
 void ControlHost::Receive(const wire::Envelope& envelope) {
   Run([this, envelope] {
     server_->OnPeerMessage(LocalNow(), envelope);
-    CarryOut();
+    DispatchOutput();
   });
 }
 
 void ControlHost::ReceiveFromNode(control::SessionId session, const wire::Envelope& envelope) {
   Run([this, session, envelope] {
     server_->OnNodeMessage(LocalNow(), session, envelope);
-    CarryOut();
+    DispatchOutput();
   });
 }
 
@@ -159,7 +159,7 @@
   Run([this, ticket, change] {
     ++open_tickets_;
     server_->Submit(LocalNow(), ticket, change);
-    CarryOut();
+    DispatchOutput();
   });
 }
 
@@ -167,7 +167,7 @@
   Run([this, ticket] {
     ++open_tickets_;
     server_->ReadConfig(LocalNow(), ticket);
-    CarryOut();
+    DispatchOutput();
   });
 }
 
@@ -179,7 +179,7 @@
   Run([this, ticket] {
     ++open_tickets_;
     server_->ReadStatus(LocalNow(), ticket);
-    CarryOut();
+    DispatchOutput();
   });
 }
 
--- a/src/sim/control_host.h
+++ b/src/sim/control_host.h
@@ -36,7 +36,7 @@
 
   /// Formats the disk of a founding machine before its first start.
   void Format();
-  bool IsFounder() const { return FirstMemberId(name()) != 0; }
+  bool IsFounder() const { return InitialMemberId(name()) != 0; }
   void Start();
   void Kill();
   /// Kills the process and replaces its disk by an empty one.
@@ -59,8 +59,8 @@
 
  private:
   void Tick();
-  void CarryOut();
-  MemberId FirstMemberId(const std::string& machine) const;
+  void DispatchOutput();
+  MemberId InitialMemberId(const std::string& machine) const;
   void CheckPlannedStop();
 
   std::vector<std::string> founders_;
--- a/src/sim/limit_fleet.cc
+++ b/src/sim/limit_fleet.cc
@@ -143,12 +143,12 @@
   return records;
 }
 
-size_t SimulatedFleet::KeeperOf(size_t tenant, uint32_t part) const {
-  KeeperPlacement placement;
+size_t SimulatedFleet::LenderOf(size_t tenant, uint32_t part) const {
+  LenderPlacement placement;
   const AccountId account{demands_[tenant].tenant.name, part};
   placement.SetAccounts({account});
   placement.SetGateways(Records(lists_.back().nodes));
-  const LimitGateway* first = placement.Find(account).first;
+  const LimitGateway* first = placement.Find(account).primary;
   return first == nullptr ? 0 : AtAddress(first->address).value();
 }
 
@@ -185,23 +185,23 @@
       gateway.waiting.erase(it);
     }
   }
-  for (const LimitQuestion& question : out.questions) {
-    const std::optional<size_t> to = AtAddress(question.address);
+  for (const OutgoingLimitRequest& request : out.requests) {
+    const std::optional<size_t> to = AtAddress(request.address);
     if (!to.has_value()) {
       continue;
     }
     const uint64_t session = Session(i, *to);
-    Deliver(i, *to, [this, to, session, ask = question.ask] {
-      gateways_[*to].limits->OnAsk(now_, session, ask, gateways_[*to].proven_at);
+    Deliver(i, *to, [this, to, session, ask = request.ask] {
+      gateways_[*to].limits->OnLimitRequest(now_, session, ask, gateways_[*to].proven_at);
       Collect(*to);
     });
   }
-  for (const LimitWord& word : out.words) {
-    const auto to = static_cast<size_t>(word.session >> 40);
-    if (Session(to, i) != word.session) {
+  for (const OutgoingLimitGrant& grant : out.grants) {
+    const auto to = static_cast<size_t>(grant.session >> 40);
+    if (Session(to, i) != grant.session) {
       continue;  // The session belongs to a previous incarnation.
     }
-    Deliver(i, to, [this, to, i, grant = word.grant] {
+    Deliver(i, to, [this, to, i, grant = grant.grant] {
       gateways_[to].limits->OnGrant(now_, gateways_[i].node, grant);
       Collect(to);
     });
@@ -216,11 +216,11 @@
   const uint64_t refused = count.refused;
   const uint64_t granted = count.granted;
   gateway.waiting[id.value] = tenant;
-  const LimitAnswer answer =
+  const LimitResult answer =
       gateway.limits->Admit(now_, id, demands_[tenant].tenant, gateway.proven_at);
-  if (answer.verdict != LimitVerdict::kWaiting) {
+  if (answer.status != LimitStatus::kWaiting) {
     gateway.waiting.erase(id.value);
-    RecordDecision(tenant, answer.verdict == LimitVerdict::kGranted, answer.retry_after);
+    RecordDecision(tenant, answer.status == LimitStatus::kGranted, answer.retry_after);
   }
   Collect(i);
   if (count.granted > granted) {
--- a/src/sim/limit_fleet.h
+++ b/src/sim/limit_fleet.h
@@ -20,7 +20,7 @@
 struct FleetOptions {
   size_t gateways = 8;
   uint64_t seed = 1;
-  LimitOptions limits{.bound = {Seconds(5), 0.1, 20}, .keeper = {}, .borrower = {}};
+  LimitOptions limits{.bound = {Seconds(5), 0.1, 20}, .lender = {}, .borrower = {}};
   double message_loss = 0;
 };
 
@@ -80,7 +80,7 @@
   double Chance() { return std::uniform_real_distribution<>(0, 1)(random_); }
   /// Returns the primary lender of a tenant's account according to control's list; 0 if no gateway
   /// is listed.
-  size_t KeeperOf(size_t tenant, uint32_t part = 0) const;
+  size_t LenderOf(size_t tenant, uint32_t part = 0) const;
 
   /// Returns the highest number of granted requests in any window that starts within [from, until),
   /// divided by the bound on it. A value above one means that the bound is violated.
--- a/src/sim/node_host.cc
+++ b/src/sim/node_host.cc
@@ -29,7 +29,7 @@
   options_.ledger_before_dispatch = !disabled_.contains("ledger-before-dispatch");
   options_.record_before_answer = !disabled_.contains("record-before-answer");
   options_.wait_for_platform = true;
-  options_.knobs.first_report_patience = kFirstReportTimeout;
+  options_.knobs.first_report_timeout = kFirstReportTimeout;
   options_.max_config_age = kMaxConfigAge;
   options_.leaving_mark = !disabled_.contains("leaving-mark");
 }
@@ -62,7 +62,7 @@
 
 void NodeHost::Step() {
   server_->Tick(LocalNow());
-  CarryOut();
+  DispatchOutput();
   const bool can_stop = stopped_ != nullptr && LocalNow() >= stop_not_before_ && server_->Drained();
   if (can_stop) {
     std::function<void()> stopped = std::move(stopped_);
@@ -89,7 +89,7 @@
   });
 }
 
-void NodeHost::CarryOut() {
+void NodeHost::DispatchOutput() {
   node::NodeOutput output = server_->TakeOutput();
   for (const query::LeafRequest& request : output.sends) {
     callbacks_.to_leaf(this, request);
@@ -109,7 +109,7 @@
 void NodeHost::Ask(RequestId id, const query::CallerRequest& request) {
   Run([this, id, request] {
     server_->OnCallerRequest(LocalNow(), id, request);
-    CarryOut();
+    DispatchOutput();
     ScheduleTick();
   });
 }
@@ -117,7 +117,7 @@
 void NodeHost::Reply(const query::LeafReply& reply) {
   Run([this, reply] {
     server_->OnLeafReply(LocalNow(), reply);
-    CarryOut();
+    DispatchOutput();
     ScheduleTick();
   });
 }
@@ -133,7 +133,7 @@
 void NodeHost::ReceiveFromControl(const wire::Envelope& envelope) {
   Run([this, envelope] {
     server_->OnControlMessage(LocalNow(), envelope);
-    CarryOut();
+    DispatchOutput();
     ScheduleTick();
   });
 }
--- a/src/sim/node_host.h
+++ b/src/sim/node_host.h
@@ -47,7 +47,7 @@
 
  private:
   void Step();
-  void CarryOut();
+  void DispatchOutput();
   void ScheduleTick();
 
   node::NodeOptions options_;
--- a/src/tenants/tenant.h
+++ b/src/tenants/tenant.h
@@ -23,7 +23,7 @@
   double burst = 0;
   /// Allowed regions of the tenant's requests, in addition to the restriction of the route; empty
   /// means any.
-  std::set<std::string> homes;
+  std::set<std::string> allowed_regions;
 
   bool limited() const { return requests_per_second > 0; }
   bool operator==(const Tenant&) const = default;
