--- a/src/tenants/tenant_view.cc
+++ b/src/tenants/tenant_view.cc
@@ -10,7 +10,7 @@
                     {"priority", tenant.priority.has_value() ? Json(*tenant.priority) : Json()},
                     {"requests_per_second", tenant.requests_per_second},
                     {"burst", tenant.burst},
-                    {"regions", tenant.homes}});
+                    {"regions", tenant.allowed_regions}});
   }
   return list;
 }
--- a/src/wire/codec.cc
+++ b/src/wire/codec.cc
@@ -191,7 +191,7 @@
     case pumicedyke_wire_Envelope_run_report_tag:
       return Body(Read(in.body.run_report));
     case pumicedyke_wire_Envelope_run_report_taken_tag:
-      return Body(RunReportTaken{in.body.run_report_taken.number});
+      return Body(RunReportAck{in.body.run_report_taken.number});
     case pumicedyke_wire_Envelope_hello_tag:
       return Body(NodeHello{Text(in.body.hello.node), in.body.hello.incarnation,
                             in.body.hello.version, in.body.hello.starting, in.body.hello.sent});
--- a/src/wire/codec_gateways.cc
+++ b/src/wire/codec_gateways.cc
@@ -62,7 +62,7 @@
                       record.cold_milliseconds,
                       record.born_ms};
   }
-  out.gone = arena->Strings(feed.gone, &out.gone_count);
+  out.gone = arena->Strings(feed.removed, &out.gone_count);
   out.control = arena->Strings(feed.control, &out.control_count);
 }
 
@@ -74,7 +74,7 @@
                             Text(record.zone), record.slots, record.draining,
                             record.cold_milliseconds, record.born_ms});
   }
-  feed.gone = Texts(in.gone, in.gone_count);
+  feed.removed = Texts(in.gone, in.gone_count);
   feed.control = Texts(in.control, in.control_count);
   return feed;
 }
@@ -91,7 +91,7 @@
     out.peers[i] = {arena->String(record.node), arena->String(record.zone),
                     arena->String(record.peer_address), arena->String(record.address)};
   }
-  out.gone = arena->Strings(feed.gone, &out.gone_count);
+  out.gone = arena->Strings(feed.removed, &out.gone_count);
 }
 
 GatewayFeed Read(const pumicedyke_wire_GatewayFeed& in) {
@@ -118,11 +118,11 @@
   out.objective_us = static_cast<uint64_t>(query.objective.count());
   out.top_records = query.top_records;
   out.max_attempts = query.max_attempts;
-  out.again = query.again;
-  out.stand_by = query.stand_by;
+  out.again = query.reassigned;
+  out.stand_by = query.await_confirmation;
   out.groups = query.groups;
   out.shards = arena->Strings(query.shards, &out.shards_count);
-  out.homes = arena->Strings(query.homes, &out.homes_count);
+  out.homes = arena->Strings(query.allowed_regions, &out.homes_count);
   out.tenant = arena->String(query.tenant);
   out.priority = query.priority;
   out.has_identity = query.identity.known();
@@ -142,11 +142,11 @@
   query.objective = Duration(static_cast<int64_t>(in.objective_us));
   query.top_records = in.top_records;
   query.max_attempts = in.max_attempts;
-  query.again = in.again;
-  query.stand_by = in.stand_by;
+  query.reassigned = in.again;
+  query.await_confirmation = in.stand_by;
   query.groups = in.groups;
   query.shards = Texts(in.shards, in.shards_count);
-  query.homes = Texts(in.homes, in.homes_count);
+  query.allowed_regions = Texts(in.homes, in.homes_count);
   query.identity = Read(in.identity);
   query.tenant = Text(in.tenant);
   query.priority = in.priority;
@@ -224,16 +224,16 @@
                    arena->String(run.service)};
   }
   out.succeeded = FillAll(report.succeeded, arena, &out.succeeded_count);
-  out.answering = arena->Strings(report.answering, &out.answering_count);
+  out.answering = arena->Strings(report.alive_leafs, &out.answering_count);
   out.relayed = report.relayed;
   out.reporter = report.reporter;
   out.number = report.number;
   out.age_us = static_cast<uint64_t>(report.age.count());
 }
 
-void Fill(const RunReportTaken& taken, Arena* /*arena*/, pumicedyke_wire_Envelope* envelope) {
+void Fill(const RunReportAck& ack, Arena* /*arena*/, pumicedyke_wire_Envelope* envelope) {
   envelope->which_body = pumicedyke_wire_Envelope_run_report_taken_tag;
-  envelope->body.run_report_taken.number = taken.number;
+  envelope->body.run_report_taken.number = ack.number;
 }
 
 RunReport Read(const pumicedyke_wire_RunReport& in) {
@@ -243,7 +243,7 @@
     report.lost.push_back({Read(run.identity), run.attempt, Text(run.leaf), Text(run.service)});
   }
   report.succeeded = ReadAll(in.succeeded, in.succeeded_count);
-  report.answering = Texts(in.answering, in.answering_count);
+  report.alive_leafs = Texts(in.answering, in.answering_count);
   report.relayed = in.relayed;
   report.reporter = in.reporter;
   report.number = in.number;
@@ -251,14 +251,14 @@
   return report;
 }
 
-void Fill(const LimitAsk& ask, Arena* arena, pumicedyke_wire_Envelope* envelope) {
+void Fill(const LimitRequest& ask, Arena* arena, pumicedyke_wire_Envelope* envelope) {
   envelope->which_body = pumicedyke_wire_Envelope_limit_ask_tag;
   envelope->body.limit_ask = {
       ask.id,         arena->String(ask.tenant), ask.part, ask.wanted, ask.claim, ask.returned,
       ask.returned_of};
 }
 
-LimitAsk Read(const pumicedyke_wire_LimitAsk& in) {
+LimitRequest Read(const pumicedyke_wire_LimitAsk& in) {
   return {in.id, Text(in.tenant), in.part, in.wanted, in.claim, in.returned, in.returned_of};
 }
 
--- a/src/wire/codec_gateways.h
+++ b/src/wire/codec_gateways.h
@@ -18,8 +18,8 @@
 void Fill(const PartialAnswer& answer, Arena* arena, pumicedyke_wire_Envelope* envelope);
 void Fill(const SuspectNotice& notice, Arena* arena, pumicedyke_wire_Envelope* envelope);
 void Fill(const RunReport& report, Arena* arena, pumicedyke_wire_Envelope* envelope);
-void Fill(const RunReportTaken& taken, Arena* arena, pumicedyke_wire_Envelope* envelope);
-void Fill(const LimitAsk& ask, Arena* arena, pumicedyke_wire_Envelope* envelope);
+void Fill(const RunReportAck& ack, Arena* arena, pumicedyke_wire_Envelope* envelope);
+void Fill(const LimitRequest& ask, Arena* arena, pumicedyke_wire_Envelope* envelope);
 void Fill(const LimitGrant& grant, Arena* arena, pumicedyke_wire_Envelope* envelope);
 
 /// Reads a message from a decoded envelope.
@@ -29,7 +29,7 @@
 PartialQuery Read(const pumicedyke_wire_PartialQuery& in);
 PartialAnswer Read(const pumicedyke_wire_PartialAnswer& in);
 RunReport Read(const pumicedyke_wire_RunReport& in);
-LimitAsk Read(const pumicedyke_wire_LimitAsk& in);
+LimitRequest Read(const pumicedyke_wire_LimitAsk& in);
 LimitGrant Read(const pumicedyke_wire_LimitGrant& in);
 std::vector<RequestIdentity> ReadAll(const pumicedyke_wire_RequestIdentity* list, pb_size_t count);
 
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -208,7 +208,7 @@
   uint64_t version = 0;
   std::vector<GatewayRecord> peers;
   /// Gateways that are removed or no longer serving.
-  std::vector<std::string> gone;
+  std::vector<std::string> removed;
 };
 
 /// Requests that another gateway gathers a group of shards, each a service, and merges their
@@ -236,14 +236,14 @@
   uint32_t max_attempts = 1;
   /// Another gateway got this group before and may have sent sub-requests, so every sub-request
   /// counts as extra load.
-  bool again = false;
+  bool reassigned = false;
   /// No sub-request may be sent before the query is confirmed (PartialConfirm).
-  bool stand_by = false;
+  bool await_confirmation = false;
   /// Number of groups that the sender divided all shards into.
   uint32_t groups = 1;
   std::vector<std::string> shards;
   /// Allowed regions: only their leafs may get sub-requests. Empty: any.
-  std::vector<std::string> homes;
+  std::vector<std::string> allowed_regions;
   /// The caller's tenant. Empty: none, or the document has no tenants.
   std::string tenant;
   /// Zero is the most urgent.
@@ -258,7 +258,7 @@
 
 /// Confirms that the sender of a partial query knows it was accepted and will not ask another
 /// gateway. From then on each shard may get up to `max_attempts` sub-requests. Before it gets one,
-/// or none with `stand_by`.
+/// or none with `await_confirmation`.
 struct PartialConfirm {
   uint64_t id = 0;
 };
@@ -267,7 +267,7 @@
   /// The query was accepted. Repeated as a keep-alive.
   kAccepted = 1,
   /// Further shard results.
-  kParts = 2,
+  kShardResults = 2,
   /// The final message.
   kDone = 3,
   /// The query was refused: no sub-request was or will be sent.
@@ -275,13 +275,13 @@
 };
 
 /// The result of one shard, given by its index in the partial query.
-struct PartialPart {
+struct ShardResult {
   uint32_t shard = 0;
   std::string signature;
 };
 
 /// A shard without a result, with a query::MissingReason.
-struct PartialGap {
+struct MissingShard {
   uint32_t shard = 0;
   uint32_t reason = 0;
 };
@@ -290,11 +290,11 @@
 struct PartialAnswer {
   uint64_t id = 0;
   PartialStage stage = PartialStage::kAccepted;
-  std::vector<PartialPart> parts;
+  std::vector<ShardResult> parts;
   /// The top records of these shard results.
   std::string records;
   /// Shards that will have no result. The final message lists all missing shards.
-  std::vector<PartialGap> gaps;
+  std::vector<MissingShard> gaps;
   /// A query::RunState, in the final message only.
   uint32_t run = 0;
   /// Sub-requests beyond the first of each shard.
@@ -318,7 +318,7 @@
   /// Requests that lost runs before and have succeeded since.
   std::vector<RequestIdentity> succeeded;
   /// Leafs that lost runs before and are still alive.
-  std::vector<std::string> answering;
+  std::vector<std::string> alive_leafs;
   /// Already forwarded, or sent to every control machine by its reporter; not forwarded again.
   bool relayed = false;
   /// Identifies the reporting process and its incarnation.
@@ -330,7 +330,7 @@
 };
 
 /// Acknowledges the report of this number. Sent by control machines in contact with a quorum.
-struct RunReportTaken {
+struct RunReportAck {
   uint64_t number = 0;
 };
 
@@ -347,7 +347,7 @@
   uint64_t version = 0;
   std::vector<LeafRecord> records;
   /// Leafs that were removed or whose heartbeats timed out.
-  std::vector<std::string> gone;
+  std::vector<std::string> removed;
   /// Frame addresses of the control machines known to the sender. Set if the receiver's connection
   /// is new or the addresses have changed.
   std::vector<std::string> control;
@@ -361,7 +361,7 @@
 
 /// A limit request. Asks the gateway that is the lender of a tenant's account for the right to send
 /// requests of the tenant, returns unused tokens, or claims the account for the sender.
-struct LimitAsk {
+struct LimitRequest {
   /// Unique among the sender's limit requests.
   uint64_t id = 0;
   std::string tenant;
@@ -380,14 +380,14 @@
   /// No tokens are left for now.
   kExhausted = 2,
   /// The receiver is not the lender of the account, or cannot yet rule out that another gateway is.
-  kNotKeeper = 3,
+  kNotLender = 3,
 };
 
-/// Answers a LimitAsk.
+/// Answers a LimitRequest.
 struct LimitGrant {
   uint64_t id = 0;
   std::string tenant;
-  LimitStage stage = LimitStage::kNotKeeper;
+  LimitStage stage = LimitStage::kNotLender;
   /// Tokens lent. If a claim is granted: the balance of the account, transferred to the sender of
   /// the claim.
   uint32_t granted = 0;
@@ -401,7 +401,7 @@
     std::variant<RaftMessage, NodeHello, ConfigFeed, LedgerRequest, LedgerReply, JoinRequest,
                  Forwarded, ForwardedReply, GatewayPresence, LeafFeed, JoinReply, GatewayFeed,
                  PartialQuery, PartialCancel, PartialAnswer, PartialConfirm, RunReport,
-                 SuspectNotice, LimitAsk, LimitGrant, RunReportTaken>;
+                 SuspectNotice, LimitRequest, LimitGrant, RunReportAck>;
 
 struct Envelope {
   std::string cluster;
--- a/test/balance/leaf_pool_test.cc
+++ b/test/balance/leaf_pool_test.cc
@@ -176,7 +176,7 @@
 
   void UnknownLeafWaitsForItsFirstReport() {
     BalanceKnobs knobs;
-    knobs.first_report_patience = Seconds(5);
+    knobs.first_report_timeout = Seconds(5);
     LeafPool pool(knobs, 1);
     pool.Configure(kStart, "a", 2);
     pool.Configure(kStart, "b", 2);
@@ -190,7 +190,7 @@
   /// A report that the leaf is leaving may have been lost while it was unreachable.
   void UnreachableLeafWaitsForAFreshReport() {
     BalanceKnobs knobs;
-    knobs.first_report_patience = Seconds(5);
+    knobs.first_report_timeout = Seconds(5);
     LeafPool pool(knobs, 1);
     pool.Configure(kStart, "a", 2);
     pool.OnHealth(kStart, "a", false);
@@ -230,11 +230,11 @@
     full.load = 16;
     pool.OnReply(kStart, full);
     CPPUNIT_ASSERT(pool.Limit("a") < before);
-    CPPUNIT_ASSERT(pool.Crowded("a"));
+    CPPUNIT_ASSERT(pool.IsFull("a"));
     // A leaf that reports no load is recognized as full by its consecutive refusals.
     pool.Configure(kStart, "b", 4);
     uint64_t id = 1;
-    while (id < 20 && !pool.Crowded("b")) {
+    while (id < 20 && !pool.IsFull("b")) {
       pool.OnSent(kStart, "b", SubRequestId{++id});
       pool.OnReply(kStart, Reply("b", SubRequestId{id}, query::LeafStatus::kShed));
     }
@@ -254,7 +254,7 @@
       pool.OnReply(now, Reply("a", SubRequestId{id},
                               taken ? query::LeafStatus::kOk : query::LeafStatus::kShed));
       CPPUNIT_ASSERT(pool.AvailabilityOf("a", now) == Availability::kReady);
-      CPPUNIT_ASSERT(!pool.Crowded("a"));
+      CPPUNIT_ASSERT(!pool.IsFull("a"));
     }
     CPPUNIT_ASSERT(pool.RefusalRateOf(now, "a") > 0.4);
   }
--- a/test/balance/sliding_window_budget_test.cc
+++ b/test/balance/sliding_window_budget_test.cc
@@ -17,7 +17,7 @@
  public:
   void AllowanceIsRestoredAfterTheWindow() {
     SlidingWindowBudget budget(Seconds(10), 0.5);
-    budget.SetAllowance(2);
+    budget.SetBurst(2);
     const Timestamp start{Seconds(1000)};
     CPPUNIT_ASSERT(budget.TrySpend(start));
     CPPUNIT_ASSERT(budget.TrySpend(start));
@@ -38,7 +38,7 @@
       constexpr double kRatio = 0.2;
       constexpr double kAllowance = 5;
       SlidingWindowBudget budget(kWindow, kRatio);
-      budget.SetAllowance(kAllowance);
+      budget.SetBurst(kAllowance);
       std::vector<Timestamp> regular;
       std::vector<Timestamp> extra;
       Timestamp now{Seconds(50)};
--- a/test/common/recent_durations_test.cc
+++ b/test/common/recent_durations_test.cc
@@ -20,7 +20,7 @@
   void NoDurationsGiveZero() {
     const RecentDurations durations(32);
     CPPUNIT_ASSERT(durations.Quantile(0.5) == Duration(0));
-    CPPUNIT_ASSERT_EQUAL(0.0, durations.ShareWithin(Seconds(1)));
+    CPPUNIT_ASSERT_EQUAL(0.0, durations.ShareUpTo(Seconds(1)));
   }
 
   void QuantilesLieWithinOneBucket() {
@@ -32,7 +32,7 @@
       const double wanted = quantile * 100;
       const double got = ToMilliseconds(durations.Quantile(quantile));
       CPPUNIT_ASSERT(got > wanted / 1.25 && got < wanted * 1.25);
-      const double share = durations.ShareWithin(durations.Quantile(quantile));
+      const double share = durations.ShareUpTo(durations.Quantile(quantile));
       CPPUNIT_ASSERT_DOUBLES_EQUAL(quantile, share, 0.01);
     }
   }
@@ -59,7 +59,7 @@
       }
       double last = 0;
       for (int64_t limit = 1; limit < 200'000'000; limit *= 2) {
-        const double share = durations.ShareWithin(Microseconds(limit));
+        const double share = durations.ShareUpTo(Microseconds(limit));
         RC_ASSERT(share >= last);
         last = share;
       }
--- a/test/config/committed_incarnations_test.cc
+++ b/test/config/committed_incarnations_test.cc
@@ -38,7 +38,7 @@
 
 class CommittedIncarnationsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CommittedIncarnationsTest);
-  CPPUNIT_TEST(RetiredLifeDoesNotBindTheNext);
+  CPPUNIT_TEST(RetiredIncarnationDoesNotBindTheNext);
   CPPUNIT_TEST(LateRetirementOfAPreviousIncarnationHasNoEffect);
   CPPUNIT_TEST(RetirementWithoutIncarnationRetiresTheCommittedOne);
   CPPUNIT_TEST(PreviousIncarnationIsNotCommittedAgain);
@@ -50,7 +50,7 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void RetiredLifeDoesNotBindTheNext() {
+  void RetiredIncarnationDoesNotBindTheNext() {
     ConfigState state;
     Apply(&state, Reported(ChangeKind::kReportLeafs, LeafOf(1000)));
     Apply(&state, Retired(1000));
@@ -58,7 +58,7 @@
     CPPUNIT_ASSERT(state.IsRetired("a", 1000));
     CPPUNIT_ASSERT(!state.IsRetired("a", 2000));
     const Change next = Reported(ChangeKind::kReportLeafs, LeafOf(2000));
-    CPPUNIT_ASSERT(!state.IsSettled(next));
+    CPPUNIT_ASSERT(!state.HasNoEffect(next));
     Apply(&state, next);
     CPPUNIT_ASSERT_EQUAL(uint64_t{2000}, state.reported().at("a").born_ms);
   }
@@ -84,11 +84,11 @@
     ConfigState state;
     Apply(&state, Reported(ChangeKind::kReportLeafs, LeafOf(2000)));
     const Change old = Reported(ChangeKind::kReportLeafs, LeafOf(1000, kReporter + 1));
-    CPPUNIT_ASSERT(state.IsSettled(old));
+    CPPUNIT_ASSERT(state.HasNoEffect(old));
     Apply(&state, old);
     CPPUNIT_ASSERT_EQUAL(uint64_t{2000}, state.reported().at("a").born_ms);
-    CPPUNIT_ASSERT(state.IsFormerLife("a", 1000));
-    CPPUNIT_ASSERT(!state.IsFormerLife("a", 2000));
+    CPPUNIT_ASSERT(state.IsPreviousIncarnation("a", 1000));
+    CPPUNIT_ASSERT(!state.IsPreviousIncarnation("a", 2000));
   }
 
   /// The same control machine proposed to forget both incarnations, and the first proposal was
@@ -97,7 +97,7 @@
     ConfigState state;
     Apply(&state, Reported(ChangeKind::kReportLeafs, LeafOf(2000)));
     const Change forget = Reported(ChangeKind::kForgetLeafs, LeafOf(1000));
-    CPPUNIT_ASSERT(state.IsSettled(forget));
+    CPPUNIT_ASSERT(state.HasNoEffect(forget));
     Apply(&state, forget);
     CPPUNIT_ASSERT(state.reported().contains("a"));
     Apply(&state, Reported(ChangeKind::kForgetLeafs, LeafOf(2000)));
@@ -109,7 +109,7 @@
     Apply(&state, Reported(ChangeKind::kReportLeafs, LeafOf(0)));
     Apply(&state, Retired(0));
     CPPUNIT_ASSERT(state.IsRetired("a", 0));
-    CPPUNIT_ASSERT(state.IsSettled(Retired(0)));
+    CPPUNIT_ASSERT(state.HasNoEffect(Retired(0)));
     Apply(&state, Reported(ChangeKind::kReportLeafs, LeafOf(0)));
     CPPUNIT_ASSERT(state.reported().empty());
     CPPUNIT_ASSERT(!Json(LeafOf(0)).contains("born"));
--- a/test/config/quarantine_test.cc
+++ b/test/config/quarantine_test.cc
@@ -10,11 +10,11 @@
 const RequestIdentity kRequest = IdentityOf({"request"});
 
 Change RequestChange(ChangeKind kind, const RequestIdentity& request = kRequest,
-                     bool on_parole = false) {
+                     bool conditional = false) {
   Change change;
   change.kind = kind;
   change.request = request;
-  change.on_parole = on_parole;
+  change.conditional = conditional;
   return change;
 }
 
@@ -32,15 +32,15 @@
  public:
   void StoppedReleasedAndStoppedAgain() {
     ConfigState state;
-    CPPUNIT_ASSERT(!state.IsSettled(RequestChange(ChangeKind::kQuarantineRequest)));
+    CPPUNIT_ASSERT(!state.HasNoEffect(RequestChange(ChangeKind::kQuarantineRequest)));
     state.Apply(RequestChange(ChangeKind::kQuarantineRequest));
     CPPUNIT_ASSERT(state.IsQuarantined(kRequest));
     CPPUNIT_ASSERT(!state.IsQuarantined(IdentityOf({"another"})));
-    CPPUNIT_ASSERT(state.IsSettled(RequestChange(ChangeKind::kQuarantineRequest)));
-    state.Apply(RequestChange(ChangeKind::kReleaseRequest, kRequest, /*on_parole=*/true));
+    CPPUNIT_ASSERT(state.HasNoEffect(RequestChange(ChangeKind::kQuarantineRequest)));
+    state.Apply(RequestChange(ChangeKind::kReleaseRequest, kRequest, /*conditional=*/true));
     CPPUNIT_ASSERT(!state.IsQuarantined(kRequest));
-    CPPUNIT_ASSERT(state.IsSettled(RequestChange(ChangeKind::kReleaseRequest, kRequest, true)));
-    CPPUNIT_ASSERT(!state.IsSettled(RequestChange(ChangeKind::kReleaseRequest)));
+    CPPUNIT_ASSERT(state.HasNoEffect(RequestChange(ChangeKind::kReleaseRequest, kRequest, true)));
+    CPPUNIT_ASSERT(!state.HasNoEffect(RequestChange(ChangeKind::kReleaseRequest)));
     state.Apply(RequestChange(ChangeKind::kQuarantineRequest));
     CPPUNIT_ASSERT_EQUAL(2U, state.quarantine().at(kRequest).times);
     state.Apply(RequestChange(ChangeKind::kReleaseRequest));
@@ -67,7 +67,7 @@
       const auto back = ParseChange(Json(change));
       CPPUNIT_ASSERT(back.ok());
       CPPUNIT_ASSERT(back->kind == change.kind && back->request == kRequest);
-      CPPUNIT_ASSERT_EQUAL(change.on_parole, back->on_parole);
+      CPPUNIT_ASSERT_EQUAL(change.conditional, back->conditional);
     }
   }
 
--- a/test/consensus/raft_test.cc
+++ b/test/consensus/raft_test.cc
@@ -143,7 +143,7 @@
 };
 
 bool Proves(Group& group, MemberId id, Timestamp cutoff) {
-  const std::optional<Timestamp> proven = group.at(id).ProvenAt(group.now());
+  const std::optional<Timestamp> proven = group.at(id).ProvenCurrentAt(group.now());
   return proven.has_value() && *proven > cutoff;
 }
 
@@ -174,8 +174,8 @@
     for (int i = 0; i < 100; ++i) {
       group.RunFor(kStep);
       for (MemberId id = 1; id <= 3; ++id) {
-        CPPUNIT_ASSERT(group.at(id).ProvenAt(group.now()).has_value());
-        const Duration age = group.now() - *group.at(id).ProvenAt(group.now());
+        CPPUNIT_ASSERT(group.at(id).ProvenCurrentAt(group.now()).has_value());
+        const Duration age = group.now() - *group.at(id).ProvenCurrentAt(group.now());
         CPPUNIT_ASSERT(age <= 3 * RaftOptions{}.heartbeat_interval);
       }
     }
@@ -208,7 +208,7 @@
     group.HoldFor(delayed);
     group.RunFor(Milliseconds(250));
     group.Release();
-    CPPUNIT_ASSERT(group.at(delayed).ProvenAt(group.now()).has_value());
+    CPPUNIT_ASSERT(group.at(delayed).ProvenCurrentAt(group.now()).has_value());
     CPPUNIT_ASSERT(!Proves(group, delayed, cutoff));
   }
 
@@ -254,9 +254,9 @@
     }
     group.Start(restarted, /*seed=*/77, group.now() - Seconds(5));
     group.Release();
-    CPPUNIT_ASSERT(!group.at(restarted).ProvenAt(group.now()).has_value());
+    CPPUNIT_ASSERT(!group.at(restarted).ProvenCurrentAt(group.now()).has_value());
     group.RunFor(Milliseconds(200));
-    CPPUNIT_ASSERT(group.at(restarted).ProvenAt(group.now()).has_value());
+    CPPUNIT_ASSERT(group.at(restarted).ProvenCurrentAt(group.now()).has_value());
   }
 
   /// No replica can hold the old lease any more, so the election need not wait for an election
--- a/test/control/control_group_test.cc
+++ b/test/control/control_group_test.cc
@@ -77,7 +77,7 @@
           messages.emplace_back(id, std::move(message));
         }
         for (const SessionMessage& message : output.sessions) {
-          const auto* acknowledgement = std::get_if<wire::RunReportTaken>(&message.envelope.body);
+          const auto* acknowledgement = std::get_if<wire::RunReportAck>(&message.envelope.body);
           acknowledged_ += acknowledgement != nullptr ? 1 : 0;
         }
         for (const OperatorReply& reply : output.operators) {
--- a/test/control/discovery_server_test.cc
+++ b/test/control/discovery_server_test.cc
@@ -99,7 +99,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("g2"), second[0].peers.at(0).node);
     server.OnSessionClosed(kSession + 1);
     server.OnPresence(kStart, kSession, Presence("g1", second[0].version));
-    CPPUNIT_ASSERT_EQUAL(std::string("g2"), Take<wire::GatewayFeed>(&server).at(0).gone.at(0));
+    CPPUNIT_ASSERT_EQUAL(std::string("g2"), Take<wire::GatewayFeed>(&server).at(0).removed.at(0));
   }
 
   void NothingIsSentWithoutChanges() {
--- a/test/control/leaf_committer_test.cc
+++ b/test/control/leaf_committer_test.cc
@@ -94,7 +94,7 @@
     h.Commit("a", kOther);
     h.state.Apply(*forget);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, h.state.reported().size());
-    CPPUNIT_ASSERT(h.state.IsSettled(*forget));
+    CPPUNIT_ASSERT(h.state.HasNoEffect(*forget));
   }
 
   /// After a leaf has moved, both machines hold it for some seconds, the old one without new
@@ -167,7 +167,7 @@
   void ProposesLeafsReportedBeforeReopening() {
     Harness h;
     h.registry.OnReport(kStart, Report("a", 1));
-    h.registry.TakeHeard();
+    h.registry.TakeReported();
     CPPUNIT_ASSERT_EQUAL(size_t{1}, h.Propose(kStart + Seconds(1))->reported.size());
   }
 
@@ -190,7 +190,7 @@
     // An older document, and the same version with other content, change nothing.
     for (const uint64_t version : {uint64_t{3}, uint64_t{4}}) {
       change.document = {version, "other"};
-      CPPUNIT_ASSERT(h.state.IsSettled(change));
+      CPPUNIT_ASSERT(h.state.HasNoEffect(change));
     }
   }
 };
--- a/test/control/quarantine_keeper_test.cc
+++ b/test/control/quarantine_manager_test.cc
@@ -1,8 +1,8 @@
 // When the control machines stop a request for the whole fleet, and when they release it.
-#include <cppunit/extensions/HelperMacros.h>
-
 #include "control/quarantine_manager.h"
 
+#include <cppunit/extensions/HelperMacros.h>
+
 namespace pumicedyke::control {
 namespace {
 
--- a/test/directory/gateway_directory_test.cc
+++ b/test/directory/gateway_directory_test.cc
@@ -55,7 +55,7 @@
       for (const wire::GatewayRecord& record : feed.peers) {
         view[record.node] = record;
       }
-      for (const std::string& node : feed.gone) {
+      for (const std::string& node : feed.removed) {
         view.erase(node);
       }
       version = feed.version;
--- a/test/directory/near_first_test.cc
+++ b/test/directory/near_first_test.cc
@@ -12,11 +12,11 @@
 
  public:
   void NearGatewaysComeFirst() {
-    const std::vector<GatewayPlace> gateways = {
+    const std::vector<GatewayLocation> gateways = {
         {"far", "z3", "east"}, {"other-zone", "z2", "west"}, {"own-zone", "z1", "west"}};
     struct Case {
       const char* what;
-      ClientPlace client;
+      ClientLocation client;
       size_t max_addresses;
       std::vector<std::string> expected;
     };
--- a/test/gateway/gateway_harness.h
+++ b/test/gateway/gateway_harness.h
@@ -52,7 +52,7 @@
       route.max_attempts = 2;
       route.min_coverage = 0.5;
       route.top_records = 2;
-      route.homes = allowed_regions;
+      route.allowed_regions = allowed_regions;
       route.open = open.contains(route.name);
       for (size_t i = 3; i < item.size(); ++i) {
         const auto service = item[i].get<std::string>();
@@ -280,7 +280,7 @@
  private:
   void TakeReport(const wire::RunReport& report) {
     if (acknowledges_reports) {
-      server.OnControlMessage(now, kControl, {"test", 0, wire::RunReportTaken{report.number}});
+      server.OnControlMessage(now, kControl, {"test", 0, wire::RunReportAck{report.number}});
     }
   }
   RequestId Ask(std::shared_ptr<PayloadRequest> request, Duration unread_time) {
--- a/test/gateway/gateway_limits_test.cc
+++ b/test/gateway/gateway_limits_test.cc
@@ -4,7 +4,7 @@
 #include <memory>
 
 #include "gateway/gateway_harness.h"
-#include "limits/keeper_placement.h"
+#include "limits/lender_placement.h"
 
 namespace pumicedyke::gateway {
 namespace {
@@ -46,14 +46,14 @@
 
   /// Returns the index of the gateway that lends the tenant's budget.
   static size_t Lender() {
-    limits::KeeperPlacement placement;
+    limits::LenderPlacement placement;
     placement.SetAccounts({{"acme", 0}});
     std::vector<limits::LimitGateway> gateways;
     for (size_t i = 0; i < kGateways; ++i) {
       gateways.push_back({NodeAt(i), AddressAt(i), "north"});
     }
     placement.SetGateways(gateways);
-    const std::string node = placement.Find({"acme", 0}).first->node;
+    const std::string node = placement.Find({"acme", 0}).primary->node;
     return node == NodeAt(0) ? 0 : node == NodeAt(1) ? 1 : 2;
   }
 
@@ -69,7 +69,7 @@
         for (const PeerReply& reply : std::exchange(harnesses[from]->peer_replies, {})) {
           delivered_all = false;
           GatewayHarness& to = *harnesses[reply.session - 1];
-          to.server.OnPeerWord(to.now, AddressAt(from), reply.envelope);
+          to.server.OnPeerReply(to.now, AddressAt(from), reply.envelope);
           to.Take();
         }
       }
@@ -78,8 +78,8 @@
   void Deliver(size_t from, const PeerMessage& message) {
     for (size_t to = 0; to < kGateways; ++to) {
       if (message.address == AddressAt(to) && !unreachable.contains(to)) {
-        harnesses[to]->server.OnPeerQuestion(harnesses[to]->now, from + 1, message.envelope,
-                                             harnesses[to]->now);
+        harnesses[to]->server.OnPeerRequest(harnesses[to]->now, from + 1, message.envelope,
+                                            harnesses[to]->now);
         harnesses[to]->Take();
       }
     }
--- a/test/gateway/gateway_urgency_test.cc
+++ b/test/gateway/gateway_priority_test.cc
@@ -77,12 +77,12 @@
     const wire::PartialQuery& query = queries.at(group);
     wire::PartialAnswer answer;
     answer.id = query.id;
-    answer.stage = missing == 0 ? wire::PartialStage::kDone : wire::PartialStage::kParts;
+    answer.stage = missing == 0 ? wire::PartialStage::kDone : wire::PartialStage::kShardResults;
     for (uint32_t i = missing; i < query.shards.size(); ++i) {
       answer.parts.push_back({i, "sig"});
     }
     answer.records = std::string(kRecordBytes, 'a');
-    h.server.OnPeerWord(h.now, addresses.at(group), {"test", 1, answer});
+    h.server.OnPeerReply(h.now, addresses.at(group), {"test", 1, answer});
     h.Take();
   }
   /// Runs a request for which two shards of the first group are late or missing.
@@ -125,8 +125,8 @@
 
 }  // namespace
 
-class GatewayUrgencyTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(GatewayUrgencyTest);
+class GatewayPriorityTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(GatewayPriorityTest);
   CPPUNIT_TEST(WithoutARoundTripTheFixedMarginApplies);
   CPPUNIT_TEST(KnownRoundTripAndSmallLagLeaveMoreTime);
   CPPUNIT_TEST(LargeLagIsLearned);
@@ -184,7 +184,7 @@
       query.groups = 6;
       query.priority = priority;
       query.shards = {Service(2 * priority), Service(2 * priority + 1)};
-      root.h.server.OnPeerQuestion(root.h.now, 3, {"test", 1, query}, root.h.now);
+      root.h.server.OnPeerRequest(root.h.now, 3, {"test", 1, query}, root.h.now);
     }
     root.h.Take();
     CPPUNIT_ASSERT_EQUAL(size_t{6}, root.h.sends.size());
@@ -196,6 +196,6 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(GatewayUrgencyTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(GatewayPriorityTest);
 
 }  // namespace pumicedyke::gateway
--- a/test/gateway/gateway_property_test.cc
+++ b/test/gateway/gateway_property_test.cc
@@ -134,7 +134,7 @@
     const auto it = requests_.find(id);
     if (it != requests_.end() && it->second.answers == 0) {
       it->second.client_left = true;
-      h_.server.OnClientGone(h_.now, RequestId{id});
+      h_.server.OnClientDisconnected(h_.now, RequestId{id});
       h_.Take();
     }
   }
@@ -163,7 +163,7 @@
       const std::string service = send.leaf.substr(0, 2);
       const bool first = observed.sent_to.insert(service).second;
       ++(first ? regular_ : extra_)[service];
-      RC_ASSERT(extra_[service] <= 2 * GatewayOptions{}.extra_load.allowance + regular_[service]);
+      RC_ASSERT(extra_[service] <= 2 * GatewayOptions{}.extra_load.burst + regular_[service]);
       RC_ASSERT(h_.now + send.budget <= observed.at + kTimeout + kSlice);
       ++observed.may_have_run;
       RC_ASSERT(observed.kind != "job" || observed.may_have_run <= 1);
--- a/test/gateway/gateway_quarantine_test.cc
+++ b/test/gateway/gateway_quarantine_test.cc
@@ -131,18 +131,18 @@
     query.objective = Milliseconds(100);
     query.max_attempts = 2;
     query.shards = {"s0", "s1"};
-    g.h.server.OnPeerQuestion(g.h.now, kSession, {"test", 1, query}, g.h.now);
+    g.h.server.OnPeerRequest(g.h.now, kSession, {"test", 1, query}, g.h.now);
     g.h.Take();
     CPPUNIT_ASSERT(g.h.sends.empty());
     const auto& answer = std::get<wire::PartialAnswer>(g.h.peer_replies.at(0).envelope.body);
     CPPUNIT_ASSERT(answer.stage == wire::PartialStage::kRefused);
     // A standby query that arrived before the quarantine is not started either.
     query.identity = IdentityOf({"/all/later"});
-    query.stand_by = true;
-    g.h.server.OnPeerQuestion(g.h.now, kSession, {"test", 1, query}, g.h.now);
+    query.await_confirmation = true;
+    g.h.server.OnPeerRequest(g.h.now, kSession, {"test", 1, query}, g.h.now);
     g.h.Quarantine("/all/later");
-    g.h.server.OnPeerQuestion(g.h.now, kSession, {"test", 1, wire::PartialConfirm{query.id}},
-                              g.h.now);
+    g.h.server.OnPeerRequest(g.h.now, kSession, {"test", 1, wire::PartialConfirm{query.id}},
+                             g.h.now);
     g.h.Take();
     CPPUNIT_ASSERT(g.h.sends.empty());
   }
--- a/test/gateway/gateway_server_test.cc
+++ b/test/gateway/gateway_server_test.cc
@@ -165,7 +165,7 @@
     GatewayHarness h;
     h.Pass(GatewayKnobs{}.expected_start);
     const RequestId id = h.Ask("/one/1");
-    h.server.OnClientGone(h.now, id);
+    h.server.OnClientDisconnected(h.now, id);
     h.Report({GatewayHarness::Leaf("a", "desk")});
     h.Put(1, kPlain);
     CPPUNIT_ASSERT(h.sends.empty());
@@ -301,7 +301,7 @@
   /// Guards against losing a shard after two refusals within two milliseconds.
   void GatherRetriesALeafThatRefusesWithRoom() {
     GatewayOptions options = GatewayHarness::Options();
-    options.extra_load.allowance = 100;
+    options.extra_load.burst = 100;
     GatewayHarness h(options);
     StartGathering(&h);
     h.Ask("/all/1");
@@ -467,7 +467,7 @@
     GatewayHarness h;
     StartGathering(&h);
     const RequestId id = h.Ask("/all/1");
-    h.server.OnClientGone(h.now, id);
+    h.server.OnClientDisconnected(h.now, id);
     h.Take();
     CPPUNIT_ASSERT_EQUAL(size_t{4}, h.cancels.size());
     for (const LeafCancel& cancel : h.cancels) {
--- a/test/gateway/gateway_sharing_test.cc
+++ b/test/gateway/gateway_sharing_test.cc
@@ -64,7 +64,7 @@
       }
       answer.records = std::string(kRecordBytes, record);
     }
-    h.server.OnPeerWord(h.now, AddressOf(query.id), {"test", 1, answer});
+    h.server.OnPeerReply(h.now, AddressOf(query.id), {"test", 1, answer});
     h.Take();
   }
   std::string AddressOf(uint64_t query_id) const {
@@ -95,8 +95,8 @@
     return 0;
   }
   /// Sends this gateway a partial query over two shards.
-  void AskToMerge(uint64_t id, uint32_t max_attempts = 2, bool again = false,
-                  bool stand_by = false) {
+  void AskToMerge(uint64_t id, uint32_t max_attempts = 2, bool reassigned = false,
+                  bool await_confirmation = false) {
     wire::PartialQuery query;
     query.id = id;
     query.route = "all";
@@ -107,15 +107,15 @@
     query.objective = Milliseconds(100);
     query.top_records = 2;
     query.max_attempts = max_attempts;
-    query.again = again;
-    query.stand_by = stand_by;
+    query.reassigned = reassigned;
+    query.await_confirmation = await_confirmation;
     query.groups = kGroups;
     query.shards = {Service(FirstOfOwned()), Service(FirstOfOwned() + 1)};
-    h.server.OnPeerQuestion(h.now, kSession, {"test", 1, query}, h.now);
+    h.server.OnPeerRequest(h.now, kSession, {"test", 1, query}, h.now);
     h.Take();
   }
   void Confirm(uint64_t id) {
-    h.server.OnPeerQuestion(h.now, kSession, {"test", 1, wire::PartialConfirm{id}}, h.now);
+    h.server.OnPeerRequest(h.now, kSession, {"test", 1, wire::PartialConfirm{id}}, h.now);
     h.Take();
   }
   const wire::PartialAnswer& AnswerAt(size_t i) const {
@@ -274,7 +274,7 @@
     Sharing s;
     const RequestId id = s.h.Ask("/all/1");
     const size_t query_count = s.h.peer_messages.size();
-    s.h.server.OnClientGone(s.h.now, id);
+    s.h.server.OnClientDisconnected(s.h.now, id);
     s.h.Take();
     CPPUNIT_ASSERT_EQUAL(2 * query_count, s.h.peer_messages.size());
     for (size_t i = query_count; i < s.h.peer_messages.size(); ++i) {
@@ -371,7 +371,7 @@
     }
     s.h.Pass(Milliseconds(1));
     const wire::PartialAnswer early = s.AnswerAt(s.h.peer_replies.size() - 1);
-    CPPUNIT_ASSERT(early.stage == wire::PartialStage::kParts);
+    CPPUNIT_ASSERT(early.stage == wire::PartialStage::kShardResults);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, early.parts.size());
     s.h.Reply(s.h.sends[1], query::LeafStatus::kOk, std::string(16, 'b'));
     const wire::PartialAnswer& last = s.AnswerAt(s.h.peer_replies.size() - 1);
@@ -400,7 +400,7 @@
     query.id = 1;
     query.shards = {Service(0)};
     query.budget = Seconds(1);
-    h.server.OnPeerQuestion(h.now, kSession, {"test", 1, query}, h.now);
+    h.server.OnPeerRequest(h.now, kSession, {"test", 1, query}, h.now);
     h.Take();
     const auto& answer = std::get<wire::PartialAnswer>(h.peer_replies.at(0).envelope.body);
     CPPUNIT_ASSERT(answer.stage == wire::PartialStage::kRefused);
@@ -413,7 +413,7 @@
     query.id = 1;
     query.shards = {Service(0)};
     query.budget = Milliseconds(500);
-    s.h.server.OnPeerQuestion(s.h.now, kSession, {"test", 1, query}, s.h.now - Milliseconds(500));
+    s.h.server.OnPeerRequest(s.h.now, kSession, {"test", 1, query}, s.h.now - Milliseconds(500));
     s.h.Take();
     CPPUNIT_ASSERT(s.h.sends.empty());
     CPPUNIT_ASSERT(s.AnswerAt(0).stage == wire::PartialStage::kRefused);
@@ -422,8 +422,8 @@
   void CancelStopsTheWork() {
     Sharing s;
     s.AskToMerge(77);
-    s.h.server.OnPeerQuestion(s.h.now, kSession, {"test", 1, wire::PartialCancel{77, true}},
-                              s.h.now);
+    s.h.server.OnPeerRequest(s.h.now, kSession, {"test", 1, wire::PartialCancel{77, true}},
+                             s.h.now);
     s.h.Take();
     CPPUNIT_ASSERT_EQUAL(size_t{2}, s.h.cancels.size());
     CPPUNIT_ASSERT(s.h.cancels[0].stop_work);
@@ -482,7 +482,7 @@
 
   void StandbyMergerSendsNothingBeforeItIsConfirmed() {
     Sharing s;
-    s.AskToMerge(77, /*max_attempts=*/1, /*again=*/true, /*stand_by=*/true);
+    s.AskToMerge(77, /*max_attempts=*/1, /*reassigned=*/true, /*await_confirmation=*/true);
     CPPUNIT_ASSERT(s.AnswerAt(0).stage == wire::PartialStage::kAccepted);
     s.h.Pass(Milliseconds(100));
     CPPUNIT_ASSERT_EQUAL(size_t{0}, s.h.sends.size());
@@ -496,11 +496,11 @@
 
   void StandbyMergerDropsCancelledAndExpiredQueries() {
     Sharing s;
-    s.AskToMerge(77, /*max_attempts=*/1, /*again=*/true, /*stand_by=*/true);
-    s.AskToMerge(78, /*max_attempts=*/1, /*again=*/true, /*stand_by=*/true);
-    s.AskToMerge(79, /*max_attempts=*/1, /*again=*/true, /*stand_by=*/true);
-    s.h.server.OnPeerQuestion(s.h.now, kSession, {"test", 1, wire::PartialCancel{77, true}},
-                              s.h.now);
+    s.AskToMerge(77, /*max_attempts=*/1, /*reassigned=*/true, /*await_confirmation=*/true);
+    s.AskToMerge(78, /*max_attempts=*/1, /*reassigned=*/true, /*await_confirmation=*/true);
+    s.AskToMerge(79, /*max_attempts=*/1, /*reassigned=*/true, /*await_confirmation=*/true);
+    s.h.server.OnPeerRequest(s.h.now, kSession, {"test", 1, wire::PartialCancel{77, true}},
+                             s.h.now);
     s.Confirm(77);
     s.h.Pass(Milliseconds(500));
     s.Confirm(78);
@@ -517,7 +517,7 @@
     const size_t many = 60;
     size_t answered = 0;
     for (uint64_t id = 1; id <= many; ++id) {
-      s.AskToMerge(id, /*max_attempts=*/1, /*again=*/true);
+      s.AskToMerge(id, /*max_attempts=*/1, /*reassigned=*/true);
       // The leafs answer at once, so that only the budget limits the sub-requests.
       for (; answered < s.h.sends.size(); ++answered) {
         s.h.Reply(s.h.sends[answered], query::LeafStatus::kOk, std::string(16, 'a'));
--- a/test/gateway/gateway_tenants_test.cc
+++ b/test/gateway/gateway_tenants_test.cc
@@ -235,12 +235,12 @@
 
   /// Sends a partial query. @return the sub-requests sent for it.
   static std::vector<LeafSend> SendsOf(KeyedSharing* k, wire::PartialQuery query) {
-    k->h.server.OnPeerQuestion(k->h.now, kSession, {"test", 1, query}, k->h.now);
-    if (query.stand_by) {
+    k->h.server.OnPeerRequest(k->h.now, kSession, {"test", 1, query}, k->h.now);
+    if (query.await_confirmation) {
       k->h.Take();
       CPPUNIT_ASSERT(k->h.sends.empty());
-      k->h.server.OnPeerQuestion(k->h.now, kSession, {"test", 1, wire::PartialConfirm{query.id}},
-                                 k->h.now);
+      k->h.server.OnPeerRequest(k->h.now, kSession, {"test", 1, wire::PartialConfirm{query.id}},
+                                k->h.now);
     }
     k->h.Take();
     return k->h.sends;
@@ -261,10 +261,10 @@
   }
 
   void MergersAndStandbysNameTheTenant() {
-    for (const bool stand_by : {false, true}) {
+    for (const bool await_confirmation : {false, true}) {
       KeyedSharing k;
       wire::PartialQuery query = Group();
-      query.stand_by = stand_by;
+      query.await_confirmation = await_confirmation;
       const std::vector<LeafSend> sends = SendsOf(&k, query);
       CPPUNIT_ASSERT_EQUAL(size_t{2}, sends.size());
       for (const LeafSend& send : sends) {
@@ -428,7 +428,7 @@
     k.h.AskWithKey("/one/3", "hush-5");
     CPPUNIT_ASSERT_EQUAL(size_t{1}, k.h.answers.size());
     CPPUNIT_ASSERT(k.h.answers[0].code == ResultCode::kStaleConfiguration);
-    k.h.server.OnClientGone(k.h.now, left);
+    k.h.server.OnClientDisconnected(k.h.now, left);
     CPPUNIT_ASSERT(!k.h.server.Drained());
     k.h.Prove();
     CPPUNIT_ASSERT_EQUAL(size_t{2}, k.h.answers.size());
@@ -465,7 +465,7 @@
   }
   static std::vector<tenants::Tenant> Eastern() {
     tenants::Tenant eastern = TenantOf("eastern", {kOtherKey});
-    eastern.homes = {"east"};
+    eastern.allowed_regions = {"east"};
     return {TenantOf("acme", {kKey}), eastern};
   }
 
@@ -508,13 +508,13 @@
   void PartialQueriesNameTheTenantsRegions() {
     KeyedSharing k;
     tenants::Tenant bound = TenantOf("bound", {kKey});
-    bound.homes = {""};
+    bound.allowed_regions = {""};
     k.h.SetTenants(std::vector{bound});
     k.h.Put(2, SharedDocument());
     k.h.AskWithKey("/all/1", kKey);
     CPPUNIT_ASSERT(!k.PartialQueries().empty());
     for (const wire::PartialQuery& query : k.PartialQueries()) {
-      CPPUNIT_ASSERT(query.homes == std::vector<std::string>{""});
+      CPPUNIT_ASSERT(query.allowed_regions == std::vector<std::string>{""});
     }
   }
 };
--- a/test/gateway/gateway_zones_test.cc
+++ b/test/gateway/gateway_zones_test.cc
@@ -104,7 +104,7 @@
     for (const PeerMessage& message : h.peer_messages) {
       CPPUNIT_ASSERT_EQUAL(size_t{0}, message.address.find("far"));
       const auto& query = std::get<wire::PartialQuery>(message.envelope.body);
-      CPPUNIT_ASSERT(query.homes == std::vector<std::string>{"east"});
+      CPPUNIT_ASSERT(query.allowed_regions == std::vector<std::string>{"east"});
     }
   }
 
@@ -118,8 +118,8 @@
     query.budget = Seconds(1);
     query.objective = Milliseconds(100);
     query.shards = {"s0", "s1"};
-    query.homes = {"east"};
-    h.server.OnPeerQuestion(h.now, 3, {"test", 1, query}, h.now);
+    query.allowed_regions = {"east"};
+    h.server.OnPeerRequest(h.now, 3, {"test", 1, query}, h.now);
     h.Take();
     CPPUNIT_ASSERT_EQUAL(size_t{1}, h.sends.size());
     CPPUNIT_ASSERT_EQUAL(std::string("b0"), h.sends[0].leaf);
@@ -166,7 +166,7 @@
     query.objective = Milliseconds(100);
     query.top_records = 2;
     query.shards = {"s0", "s1"};
-    h.server.OnPeerQuestion(h.now, 3, {"test", 1, query}, h.now);
+    h.server.OnPeerRequest(h.now, 3, {"test", 1, query}, h.now);
     h.Take();
     CPPUNIT_ASSERT_EQUAL(size_t{1}, h.sends.size());
     CPPUNIT_ASSERT_EQUAL(std::string("b0"), h.sends[0].leaf);
@@ -288,7 +288,7 @@
         for (size_t i = 0; i < kShards; ++i) {
           query.shards.push_back("s" + std::to_string(i));
         }
-        h.server.OnPeerQuestion(h.now, 3, {"test", 1, query}, h.now);
+        h.server.OnPeerRequest(h.now, 3, {"test", 1, query}, h.now);
         h.Take();
         for (const LeafSend& send : std::exchange(h.sends, {})) {
           ++sent[send.leaf];
--- a/test/gateway/pool_keeper_test.cc
+++ b/test/gateway/leaf_pool_updater_test.cc
@@ -1,6 +1,6 @@
 // The leaf pool of a gateway in a fleet of thousands of leafs: the cost of a change depends on the
 // change, not on the size of the fleet.
-#include "gateway/pool_keeper.h"
+#include "gateway/leaf_pool_updater.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -33,8 +33,8 @@
     view.OnFeed(now, "c1", feed);
     Sync(100);
   }
-  void Report(std::vector<wire::LeafRecord> records, std::vector<std::string> gone = {}) {
-    view.OnFeed(now, "c1", {version, version + 1, std::move(records), std::move(gone), {}, 1});
+  void Report(std::vector<wire::LeafRecord> records, std::vector<std::string> removed = {}) {
+    view.OnFeed(now, "c1", {version, version + 1, std::move(records), std::move(removed), {}, 1});
     ++version;
     Sync(gateways);
   }
@@ -56,13 +56,13 @@
   std::unique_ptr<routing::RouteTable> table;
   LeafView view{{}};
   balance::LeafPool pool{{}, 1};
-  PoolKeeper pool_updater{"g1", "north", &pool};
+  LeafPoolUpdater pool_updater{"g1", "north", &pool};
 };
 
 }  // namespace
 
-class PoolKeeperTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(PoolKeeperTest);
+class LeafPoolUpdaterTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(LeafPoolUpdaterTest);
   CPPUNIT_TEST(CostOfAChangeIsLimitedToItsService);
   CPPUNIT_TEST(AddedGatewaysCostNothingUntilSubsetsShrink);
   CPPUNIT_TEST(PoolFollowsLeafs);
@@ -118,6 +118,6 @@
     CPPUNIT_ASSERT(fleet.pool_updater.IsPreferred(Service(0), north));
   }
 };
-CPPUNIT_TEST_SUITE_REGISTRATION(PoolKeeperTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(LeafPoolUpdaterTest);
 
 }  // namespace pumicedyke::gateway
--- a/test/gateway/leaf_view_lives_test.cc
+++ b/test/gateway/leaf_view_incarnations_test.cc
@@ -1,8 +1,8 @@
 // A gateway keeps the incarnations of a leaf apart, whichever control machine reports them.
 #include <cppunit/extensions/HelperMacros.h>
 
+#include "gateway/leaf_pool_updater.h"
 #include "gateway/leaf_view.h"
-#include "gateway/pool_keeper.h"
 
 namespace pumicedyke::gateway {
 namespace {
@@ -21,8 +21,8 @@
 
 }  // namespace
 
-class LeafViewLivesTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(LeafViewLivesTest);
+class LeafViewIncarnationsTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(LeafViewIncarnationsTest);
   CPPUNIT_TEST(DrainingOfAPreviousIncarnationDoesNotApply);
   CPPUNIT_TEST(LateReportOfAPreviousIncarnationClosesNothing);
   CPPUNIT_TEST(RetirementAppliesToOneIncarnation);
@@ -97,7 +97,7 @@
   void PoolDropsStateOfThePreviousIncarnation() {
     LeafView view({});
     balance::LeafPool pool({}, 1);
-    PoolKeeper pool_updater("g1", "north", &pool);
+    LeafPoolUpdater pool_updater("g1", "north", &pool);
     view.OnFeed(kStart, "c1", Full(1, {Record(1000)}));
     pool_updater.Sync(kStart, view, view.TakeChanges(), {nullptr, 1});
     pool.OnHealth(kStart, "a", /*draining=*/true);
@@ -107,6 +107,6 @@
     CPPUNIT_ASSERT(pool.AvailabilityOf("a", kStart) == balance::Availability::kReady);
   }
 };
-CPPUNIT_TEST_SUITE_REGISTRATION(LeafViewLivesTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(LeafViewIncarnationsTest);
 
 }  // namespace pumicedyke::gateway
--- a/test/gateway/leaf_view_property_test.cc
+++ b/test/gateway/leaf_view_property_test.cc
@@ -89,10 +89,10 @@
       source.unconfirmed.erase(record.leaf);
     }
     if (!full && *rc::gen::inRange(0, 2) == 0) {
-      const std::string gone = AnyLeaf();
-      feed.gone.push_back(gone);
-      source.records.erase(gone);
-      source.unconfirmed.erase(gone);
+      const std::string removed = AnyLeaf();
+      feed.removed.push_back(removed);
+      source.records.erase(removed);
+      source.unconfirmed.erase(removed);
     }
     RC_ASSERT(view_.OnFeed(now_, name, feed));
   }
--- a/test/gateway/question_queue_test.cc
+++ b/test/gateway/partial_query_queue_test.cc
@@ -1,4 +1,4 @@
-#include "gateway/question_queue.h"
+#include "gateway/partial_query_queue.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -8,21 +8,21 @@
 namespace pumicedyke::gateway {
 namespace {
 
-ArrivedQuestion MakeQuery(uint64_t session, uint64_t id, uint32_t priority) {
+ArrivedPartialQuery MakeQuery(uint64_t session, uint64_t id, uint32_t priority) {
   wire::PartialQuery query;
   query.id = id;
   query.priority = priority;
   return {session, {"test", 1, query}, Timestamp(Seconds(1))};
 }
 
-uint64_t IdOf(const std::optional<ArrivedQuestion>& query) {
+uint64_t IdOf(const std::optional<ArrivedPartialQuery>& query) {
   return std::get<wire::PartialQuery>(query->envelope.body).id;
 }
 
 }  // namespace
 
-class QuestionQueueTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(QuestionQueueTest);
+class PartialQueryQueueTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(PartialQueryQueueTest);
   CPPUNIT_TEST(MostUrgentIsTakenFirst);
   CPPUNIT_TEST(EqualPrioritiesAreTakenInReadingOrder);
   CPPUNIT_TEST(CancelledQueriesAreRemoved);
@@ -33,21 +33,21 @@
  public:
   /// A burst of queries with the lowest priority was read before one urgent query.
   void MostUrgentIsTakenFirst() {
-    QuestionQueue queue;
+    PartialQueryQueue queue;
     for (uint64_t id = 1; id <= 50; ++id) {
-      ArrivedQuestion query = MakeQuery(1, id, 5);
+      ArrivedPartialQuery query = MakeQuery(1, id, 5);
       CPPUNIT_ASSERT(queue.Add(&query));
     }
-    ArrivedQuestion urgent = MakeQuery(2, 51, 0);
+    ArrivedPartialQuery urgent = MakeQuery(2, 51, 0);
     CPPUNIT_ASSERT(queue.Add(&urgent));
     CPPUNIT_ASSERT_EQUAL(uint64_t{51}, IdOf(queue.Take()));
     CPPUNIT_ASSERT_EQUAL(uint64_t{1}, IdOf(queue.Take()));
   }
 
   void EqualPrioritiesAreTakenInReadingOrder() {
-    QuestionQueue queue;
+    PartialQueryQueue queue;
     for (const uint64_t id : {3, 1, 2}) {
-      ArrivedQuestion query = MakeQuery(id, id, 1);
+      ArrivedPartialQuery query = MakeQuery(id, id, 1);
       queue.Add(&query);
     }
     for (const uint64_t id : {3, 1, 2}) {
@@ -57,8 +57,8 @@
   }
 
   void CancelledQueriesAreRemoved() {
-    QuestionQueue queue;
-    ArrivedQuestion query = MakeQuery(1, 7, 1);
+    PartialQueryQueue queue;
+    ArrivedPartialQuery query = MakeQuery(1, 7, 1);
     queue.Add(&query);
     CPPUNIT_ASSERT(!queue.Cancel(2, 7));
     CPPUNIT_ASSERT(queue.Cancel(1, 7));
@@ -67,9 +67,9 @@
   }
 
   void ClosingASessionRemovesItsQueries() {
-    QuestionQueue queue;
+    PartialQueryQueue queue;
     for (const uint64_t session : {1, 2}) {
-      ArrivedQuestion query = MakeQuery(session, session, 1);
+      ArrivedPartialQuery query = MakeQuery(session, session, 1);
       queue.Add(&query);
     }
     queue.CloseSession(1);
@@ -78,13 +78,13 @@
   }
 
   void OtherMessagesAreRejected() {
-    QuestionQueue queue;
-    ArrivedQuestion cancel{1, {"test", 1, wire::PartialCancel{7, true}}, {}};
+    PartialQueryQueue queue;
+    ArrivedPartialQuery cancel{1, {"test", 1, wire::PartialCancel{7, true}}, {}};
     CPPUNIT_ASSERT(!queue.Add(&cancel));
     CPPUNIT_ASSERT(std::holds_alternative<wire::PartialCancel>(cancel.envelope.body));
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(QuestionQueueTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(PartialQueryQueueTest);
 
 }  // namespace pumicedyke::gateway
--- a/test/http/client_connections_test.cc
+++ b/test/http/client_connections_test.cc
@@ -52,7 +52,7 @@
       ClientRequest request;
       request.address = peer.address();
       request.path = "/";
-      request.kept_connections = kept;
+      request.retained_connections = kept;
       client.Start(request, [&](const ClientResponse& response) {
         CPPUNIT_ASSERT_EQUAL(200, response.status);
         if (++answered % 2 != 0) {
--- a/test/http/work_budget_test.cc
+++ b/test/http/work_budget_test.cc
@@ -77,7 +77,7 @@
     ClientRequest request;
     request.address = "127.0.0.1:" + std::to_string(server.port());
     request.path = "/";
-    request.close_soon = true;
+    request.close_when_idle = true;
     bool answered = false;
     client.Start(request, [&](const ClientResponse&) { answered = true; });
     loop.Run([&](Timestamp now) {
--- a/test/limits/accounts_test.cc
+++ b/test/limits/accounts_test.cc
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "limits/account_terms.h"
-#include "limits/keeper_placement.h"
+#include "limits/lender_placement.h"
 #include "limits/token_bucket.h"
 
 namespace pumicedyke::limits {
@@ -109,7 +109,7 @@
   void IncrementalPlacementEqualsANewOne() {
     const bool property_holds = rc::check("a placement that was changed equals a new one", [] {
       const std::vector<AccountId> accounts = Accounts(12);
-      KeeperPlacement changed;
+      LenderPlacement changed;
       changed.SetAccounts(Accounts(*rc::gen::inRange(0U, 12U)));
       std::vector<int> names;
       for (int step = 0; step < 6; ++step) {
@@ -119,17 +119,17 @@
         changed.SetGateways(GatewaysNamed(names));
       }
       changed.SetAccounts(accounts);
-      KeeperPlacement fresh;
+      LenderPlacement fresh;
       fresh.SetGateways(GatewaysNamed(names));
       fresh.SetAccounts(accounts);
       for (const AccountId& account : accounts) {
         const Lenders a = changed.Find(account);
         const Lenders b = fresh.Find(account);
-        RC_ASSERT(NodeOf(a.first) == NodeOf(b.first));
-        RC_ASSERT(NodeOf(a.second) == NodeOf(b.second));
-        RC_ASSERT((a.first != nullptr) == !names.empty());
-        RC_ASSERT((a.second != nullptr) == (names.size() > 1));
-        RC_ASSERT(a.first == nullptr || a.first != a.second);
+        RC_ASSERT(NodeOf(a.primary) == NodeOf(b.primary));
+        RC_ASSERT(NodeOf(a.reserve) == NodeOf(b.reserve));
+        RC_ASSERT((a.primary != nullptr) == !names.empty());
+        RC_ASSERT((a.reserve != nullptr) == (names.size() > 1));
+        RC_ASSERT(a.primary == nullptr || a.primary != a.reserve);
       }
     });
     CPPUNIT_ASSERT(property_holds);
@@ -137,23 +137,23 @@
 
   void RemovedGatewayMovesOnlyItsOwnAccounts() {
     const std::vector<AccountId> accounts = Accounts(300);
-    KeeperPlacement all;
+    LenderPlacement all;
     all.SetAccounts(accounts);
     all.SetGateways(GatewaysNamed({0, 1, 2, 3, 4, 5, 6, 7, 8, 9}));
-    KeeperPlacement fewer;
+    LenderPlacement fewer;
     fewer.SetAccounts(accounts);
     fewer.SetGateways(GatewaysNamed({0, 1, 2, 4, 5, 6, 7, 8, 9}));
     for (const AccountId& account : accounts) {
       const Lenders before = all.Find(account);
-      const std::string after = NodeOf(fewer.Find(account).first);
-      const bool was_removed_gateway = NodeOf(before.first) == "g3";
+      const std::string after = NodeOf(fewer.Find(account).primary);
+      const bool was_removed_gateway = NodeOf(before.primary) == "g3";
       // Its accounts move to their reserve lenders.
-      CPPUNIT_ASSERT_EQUAL(NodeOf(was_removed_gateway ? before.second : before.first), after);
+      CPPUNIT_ASSERT_EQUAL(NodeOf(was_removed_gateway ? before.reserve : before.primary), after);
     }
   }
 
   void AccountsAreSpreadOverGateways() {
-    KeeperPlacement placement;
+    LenderPlacement placement;
     placement.SetAccounts(Accounts(3000));
     placement.SetGateways(GatewaysNamed({0, 1, 2, 3, 4, 5, 6, 7, 8, 9}));
     for (int i = 0; i < 10; ++i) {
--- a/test/limits/limit_borrower_test.cc
+++ b/test/limits/limit_borrower_test.cc
@@ -17,10 +17,10 @@
     placement.SetAccounts({kAccount});
     placement.SetGateways({{"a", "a:1", "z"}, {"b", "b:1", "z"}, {"c", "c:1", "z"}});
     const Lenders lenders = placement.Find(kAccount);
-    primary = lenders.first->address;
-    reserve = lenders.second->address;
+    primary = lenders.primary->address;
+    reserve = lenders.reserve->address;
     for (const std::string node : {"a", "b", "c"}) {
-      if (node != lenders.first->node && node != lenders.second->node) {
+      if (node != lenders.primary->node && node != lenders.reserve->node) {
         self = node;
       }
     }
@@ -29,10 +29,10 @@
         std::make_unique<LimitBorrower>(BorrowerOptions{}, self, &placement, &lender, &next_id);
     borrower->SetTenants({{kTenant, 1}});
   }
-  LimitVerdict Admit(uint64_t id) {
-    const LimitVerdict verdict = borrower->Admit(now, RequestId{id}, kTenant).verdict;
+  LimitStatus Admit(uint64_t id) {
+    const LimitStatus status = borrower->Admit(now, RequestId{id}, kTenant).status;
     borrower->CollectInto(&out);
-    return verdict;
+    return status;
   }
   void Answer(uint64_t request, wire::LimitStage stage, uint32_t granted,
               Duration retry_after = {}) {
@@ -44,15 +44,15 @@
     borrower->Tick(now);
     borrower->CollectInto(&out);
   }
-  const LimitQuestion& Asked(size_t i) const { return out.questions.at(i); }
+  const OutgoingLimitRequest& Asked(size_t i) const { return out.requests.at(i); }
 
   Timestamp now{Seconds(50)};
   uint64_t next_id = 1;
   std::string primary;
   std::string reserve;
   std::string self;
-  KeeperPlacement placement;
-  LimitKeeper lender{{}};
+  LenderPlacement placement;
+  LimitLender lender{{}};
   std::unique_ptr<LimitBorrower> borrower;
   LimitOutput out;
 };
@@ -77,7 +77,7 @@
  public:
   void AsksThePrimaryLenderAndWaits() {
     BorrowerFixture b;
-    CPPUNIT_ASSERT(b.Admit(1) == LimitVerdict::kWaiting);
+    CPPUNIT_ASSERT(b.Admit(1) == LimitStatus::kWaiting);
     CPPUNIT_ASSERT_EQUAL(b.primary, b.Asked(0).address);
     CPPUNIT_ASSERT_EQUAL(1U, b.Asked(0).ask.wanted);
     b.Answer(b.Asked(0).ask.id, wire::LimitStage::kGranted, 1);
@@ -88,11 +88,11 @@
   void RequestsArrivingMeanwhileShareTheNextLimitRequest() {
     BorrowerFixture b;
     for (uint64_t id = 1; id <= 6; ++id) {
-      CPPUNIT_ASSERT(b.Admit(id) == LimitVerdict::kWaiting);
+      CPPUNIT_ASSERT(b.Admit(id) == LimitStatus::kWaiting);
     }
-    CPPUNIT_ASSERT_EQUAL(size_t{2}, b.out.questions.size());
+    CPPUNIT_ASSERT_EQUAL(size_t{2}, b.out.requests.size());
     b.Answer(b.Asked(0).ask.id, wire::LimitStage::kGranted, 1);
-    CPPUNIT_ASSERT_EQUAL(size_t{3}, b.out.questions.size());
+    CPPUNIT_ASSERT_EQUAL(size_t{3}, b.out.requests.size());
     CPPUNIT_ASSERT(b.Asked(2).ask.wanted >= 4);
     b.Answer(b.Asked(2).ask.id, wire::LimitStage::kGranted, 4);
     b.Answer(b.Asked(1).ask.id, wire::LimitStage::kGranted, 1);
@@ -135,22 +135,22 @@
     CPPUNIT_ASSERT(b.out.decisions[0].retry_after >= Milliseconds(400));
     CPPUNIT_ASSERT(b.out.decisions[0].retry_after <= Milliseconds(800));
     b.Pass(Milliseconds(399));
-    CPPUNIT_ASSERT(b.Admit(2) == LimitVerdict::kRefused);
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, b.out.questions.size());
+    CPPUNIT_ASSERT(b.Admit(2) == LimitStatus::kRefused);
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, b.out.requests.size());
     b.Pass(Milliseconds(1));
-    CPPUNIT_ASSERT(b.Admit(3) == LimitVerdict::kWaiting);
-    CPPUNIT_ASSERT_EQUAL(size_t{2}, b.out.questions.size());
+    CPPUNIT_ASSERT(b.Admit(3) == LimitStatus::kWaiting);
+    CPPUNIT_ASSERT_EQUAL(size_t{2}, b.out.requests.size());
   }
 
   void ReserveIsNotAskedWhenTheAccountIsExhausted() {
     BorrowerFixture b;
     b.Admit(1);
     b.Answer(b.Asked(0).ask.id, wire::LimitStage::kExhausted, 0, Milliseconds(400));
-    CPPUNIT_ASSERT_EQUAL(size_t{1}, b.out.questions.size());
-    // In contrast, kNotKeeper makes the borrower try the reserve.
+    CPPUNIT_ASSERT_EQUAL(size_t{1}, b.out.requests.size());
+    // In contrast, kNotLender makes the borrower try the reserve.
     b.Pass(Milliseconds(400));
     b.Admit(2);
-    b.Answer(b.Asked(1).ask.id, wire::LimitStage::kNotKeeper, 0);
+    b.Answer(b.Asked(1).ask.id, wire::LimitStage::kNotLender, 0);
     CPPUNIT_ASSERT_EQUAL(b.reserve, b.Asked(2).address);
   }
 
@@ -161,7 +161,7 @@
     b.Answer(b.Asked(1).ask.id, wire::LimitStage::kGranted, 1);
     b.Answer(b.Asked(0).ask.id, wire::LimitStage::kGranted, 1);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, b.out.decisions.size());
-    CPPUNIT_ASSERT(b.Admit(2) == LimitVerdict::kGranted);
+    CPPUNIT_ASSERT(b.Admit(2) == LimitStatus::kGranted);
   }
 
   void ExpiredGrantIsNotUsed() {
@@ -178,7 +178,7 @@
     BorrowerFixture b;
     for (uint64_t id = 1; id <= 40; ++id) {
       b.Admit(id);
-      const wire::LimitAsk ask = b.out.questions.back().ask;
+      const wire::LimitRequest ask = b.out.requests.back().ask;
       b.Answer(ask.id, wire::LimitStage::kGranted, ask.wanted);
       b.Pass(Milliseconds(10));
     }
@@ -186,7 +186,7 @@
     size_t asked = 0;
     uint32_t wanted = 0;
     uint32_t returned = 0;
-    for (const LimitQuestion& request : b.out.questions) {
+    for (const OutgoingLimitRequest& request : b.out.requests) {
       const bool returns = request.ask.returned_of != 0;
       CPPUNIT_ASSERT(!returns || request.ask.wanted == 0);
       asked += returns ? 0 : 1;
@@ -204,13 +204,12 @@
     b.borrower->Withdraw(RequestId{1});
     b.Answer(b.Asked(0).ask.id, wire::LimitStage::kGranted, 1);
     CPPUNIT_ASSERT(b.out.decisions.empty());
-    CPPUNIT_ASSERT(b.Admit(2) == LimitVerdict::kGranted);
+    CPPUNIT_ASSERT(b.Admit(2) == LimitStatus::kGranted);
   }
 
   void UnknownTenantIsRefused() {
     BorrowerFixture b;
-    CPPUNIT_ASSERT(b.borrower->Admit(b.now, RequestId{1}, "other").verdict ==
-                   LimitVerdict::kRefused);
+    CPPUNIT_ASSERT(b.borrower->Admit(b.now, RequestId{1}, "other").status == LimitStatus::kRefused);
   }
 };
 
--- a/test/limits/limit_keeper_test.cc
+++ b/test/limits/limit_lender_test.cc
@@ -1,5 +1,5 @@
 // Tests the accounts of one gateway: lending, returned tokens, claims and lapsed proofs.
-#include "limits/limit_keeper.h"
+#include "limits/limit_lender.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -11,7 +11,7 @@
 
 /// A lender whose configuration is always proven current.
 struct LenderFixture {
-  explicit LenderFixture(KeeperRole role, std::vector<std::string> claim_targets = {}) {
+  explicit LenderFixture(LenderRole role, std::vector<std::string> claim_targets = {}) {
     lender.OnProof(now, now);
     lender.SetTerms(now, {{kAccount, kTerms}});
     lender.SetRole(now, kAccount, role, std::move(claim_targets));
@@ -27,13 +27,13 @@
 
   Timestamp now{Seconds(50)};
   uint64_t next_id = 1;
-  LimitKeeper lender{{}};
+  LimitLender lender{{}};
 };
 
 }  // namespace
 
-class LimitKeeperTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(LimitKeeperTest);
+class LimitLenderTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(LimitLenderTest);
   CPPUNIT_TEST(RefillsAfterSettling);
   CPPUNIT_TEST(ReturnsTheTimeOfTheNextToken);
   CPPUNIT_TEST(RefusedRequestsGetDifferentRetryTimes);
@@ -48,20 +48,20 @@
 
  public:
   void RefillsAfterSettling() {
-    LenderFixture fixture(KeeperRole::kFirst);
+    LenderFixture fixture(LenderRole::kPrimary);
     fixture.Pass(Milliseconds(2400));
     const LendResult before = fixture.lender.Lend(fixture.now, kAccount, 1);
-    CPPUNIT_ASSERT(before.stage == wire::LimitStage::kNotKeeper);
+    CPPUNIT_ASSERT(before.stage == wire::LimitStage::kNotLender);
     fixture.Pass(Milliseconds(1100));
     CPPUNIT_ASSERT_EQUAL(2U, fixture.Lend(9));
     fixture.Pass(Seconds(60));
     CPPUNIT_ASSERT_EQUAL(4U, fixture.Lend(9));
     CPPUNIT_ASSERT(fixture.lender.Lend(fixture.now, {"other", 0}, 1).stage ==
-                   wire::LimitStage::kNotKeeper);
+                   wire::LimitStage::kNotLender);
   }
 
   void ReturnsTheTimeOfTheNextToken() {
-    LenderFixture fixture(KeeperRole::kFirst);
+    LenderFixture fixture(LenderRole::kPrimary);
     fixture.Pass(Seconds(60));
     const LendResult some = fixture.lender.Lend(fixture.now, kAccount, 9);
     CPPUNIT_ASSERT(some.stage == wire::LimitStage::kGranted);
@@ -74,7 +74,7 @@
   }
 
   void RefusedRequestsGetDifferentRetryTimes() {
-    LenderFixture fixture(KeeperRole::kFirst);
+    LenderFixture fixture(LenderRole::kPrimary);
     fixture.Pass(Seconds(60));
     Duration last = fixture.lender.Lend(fixture.now, kAccount, 9).retry_after;
     for (int i = 0; i < 50; ++i) {
@@ -90,7 +90,7 @@
   }
 
   void LapsedProofStopsLendingAndStartsOver() {
-    LenderFixture fixture(KeeperRole::kFirst);
+    LenderFixture fixture(LenderRole::kPrimary);
     fixture.Pass(Seconds(60));
     const Timestamp proven = fixture.now;
     fixture.now += Milliseconds(3200);
@@ -99,7 +99,7 @@
     fixture.now += Milliseconds(200);
     fixture.lender.OnProof(fixture.now, proven);
     CPPUNIT_ASSERT(fixture.lender.Lend(fixture.now, kAccount, 1).stage ==
-                   wire::LimitStage::kNotKeeper);
+                   wire::LimitStage::kNotLender);
     // Proven again, but another gateway may have been the lender in the meantime.
     fixture.lender.OnProof(fixture.now, fixture.now);
     CPPUNIT_ASSERT_EQUAL(0U, fixture.Lend(1));
@@ -108,7 +108,7 @@
   }
 
   void TokensReturnedInTimeAreLentAgain() {
-    LenderFixture fixture(KeeperRole::kFirst);
+    LenderFixture fixture(LenderRole::kPrimary);
     fixture.Pass(Seconds(60));
     const BorrowerId borrower{7, 1};
     CPPUNIT_ASSERT_EQUAL(4U, fixture.lender.LendTo(fixture.now, kAccount, 4, borrower).count);
@@ -127,9 +127,9 @@
   }
 
   void ClaimMovesTheAccount() {
-    LenderFixture previous(KeeperRole::kFirst);
+    LenderFixture previous(LenderRole::kPrimary);
     previous.Pass(Seconds(60));
-    LenderFixture next(KeeperRole::kFirst, {"former"});
+    LenderFixture next(LenderRole::kPrimary, {"former"});
     next.now = previous.now;
     next.lender.OnProof(next.now, next.now);
     const std::vector<AccountClaim> claims = next.lender.Tick(next.now, &next.next_id);
@@ -139,7 +139,7 @@
     CPPUNIT_ASSERT_EQUAL(4U, answer.count);
     CPPUNIT_ASSERT_EQUAL(0U, previous.Lend(1));
     CPPUNIT_ASSERT(previous.lender.OnClaim(previous.now, kAccount).stage ==
-                   wire::LimitStage::kNotKeeper);
+                   wire::LimitStage::kNotLender);
     CPPUNIT_ASSERT(next.lender.OnClaimAnswer(
         next.now, {claims.front().ask.id, "t", answer.stage, answer.count, {}, {}}));
     CPPUNIT_ASSERT_EQUAL(4U, next.Lend(9));
@@ -151,16 +151,16 @@
   }
 
   void ClaimAtALenderThatDidNotRefillIsNotGranted() {
-    LenderFixture reserve(KeeperRole::kSecond);
+    LenderFixture reserve(LenderRole::kReserve);
     reserve.Pass(Seconds(60));
     CPPUNIT_ASSERT(reserve.lender.OnClaim(reserve.now, kAccount).stage ==
-                   wire::LimitStage::kNotKeeper);
+                   wire::LimitStage::kNotLender);
     // The reserve stays.
     CPPUNIT_ASSERT_EQUAL(3U, reserve.Lend(9));
   }
 
   void LateClaimReplyIsIgnored() {
-    LenderFixture next(KeeperRole::kFirst, {"former"});
+    LenderFixture next(LenderRole::kPrimary, {"former"});
     const std::vector<AccountClaim> claims = next.lender.Tick(next.now, &next.next_id);
     next.Pass(Milliseconds(600));
     next.lender.OnClaimAnswer(next.now,
@@ -169,9 +169,9 @@
   }
 
   void ReserveMovesToTheNewPrimary() {
-    LenderFixture fixture(KeeperRole::kSecond);
+    LenderFixture fixture(LenderRole::kReserve);
     fixture.Pass(Seconds(60));
-    fixture.lender.SetRole(fixture.now, kAccount, KeeperRole::kFirst, {});
+    fixture.lender.SetRole(fixture.now, kAccount, LenderRole::kPrimary, {});
     // The reserve is lent at once, but not refilled before the account has settled.
     CPPUNIT_ASSERT_EQUAL(3U, fixture.Lend(9));
     fixture.Pass(Seconds(2));
@@ -181,7 +181,7 @@
   }
 
   void LowerTermsReduceTheLevel() {
-    LenderFixture fixture(KeeperRole::kFirst);
+    LenderFixture fixture(LenderRole::kPrimary);
     fixture.Pass(Seconds(60));
     AccountTerms lower = kTerms;
     lower.rate = 0.5;
@@ -192,10 +192,10 @@
     CPPUNIT_ASSERT_EQUAL(1U, fixture.Lend(9));
     fixture.lender.SetTerms(fixture.now, {});
     CPPUNIT_ASSERT(fixture.lender.Lend(fixture.now, kAccount, 1).stage ==
-                   wire::LimitStage::kNotKeeper);
+                   wire::LimitStage::kNotLender);
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(LimitKeeperTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(LimitLenderTest);
 
 }  // namespace pumicedyke::limits
--- a/test/limits/tenant_limits_test.cc
+++ b/test/limits/tenant_limits_test.cc
@@ -48,7 +48,7 @@
     return std::uniform_int_distribution<size_t>(0, most - 1)(fleet->random());
   };
   // Half of the faults hit a lender, where they matter most.
-  const size_t gateway = fleet->Chance() < 0.5 ? fleet->KeeperOf(0) : pick(fleet->size());
+  const size_t gateway = fleet->Chance() < 0.5 ? fleet->LenderOf(0) : pick(fleet->size());
   const Duration length = Milliseconds(static_cast<int64_t>(200 + fleet->Chance() * 7000));
   switch (pick(10)) {
     case 0:
@@ -109,7 +109,7 @@
   FleetOptions options;
   options.gateways = std::uniform_int_distribution<size_t>(3, 40)(random);
   options.seed = seed;
-  options.limits.keeper = lender;
+  options.limits.lender = lender;
   options.message_loss = seed % 3 == 0 ? 0.05 : 0;
   SimulatedFleet fleet(options);
   std::vector<Demand> demands = {DemandOf("large", 30, 10, 240), DemandOf("tiny", 0.1, 1, 4),
@@ -288,11 +288,11 @@
       SimulatedFleet fleet({.gateways = 88, .seed = 8});
       fleet.SetDemand({DemandOf("small", 0.8, 2, 0)});
       fleet.Run(kWarmup);
-      fleet.Kill(fleet.KeeperOf(0), noticed);
+      fleet.Kill(fleet.LenderOf(0), noticed);
       // Evenly spaced requests. The new lender refills the account only several seconds later.
       for (int i = 0; i < 8; ++i) {
         size_t gateway = 11 * static_cast<size_t>(i);
-        gateway = gateway == fleet.KeeperOf(0) ? gateway + 1 : gateway;
+        gateway = gateway == fleet.LenderOf(0) ? gateway + 1 : gateway;
         fleet.AskAt(gateway, 0);
         fleet.Run(Milliseconds(1000));
       }
@@ -335,7 +335,7 @@
  private:
   static double PeakFullnessWithPartitionedLender(const LenderOptions& lender) {
     FleetOptions options{.gateways = 3, .seed = 21};
-    options.limits.keeper = lender;
+    options.limits.lender = lender;
     SimulatedFleet fleet(options);
     fleet.SetDemand({DemandOf("t", 100, 10, 800)});
     fleet.Run(kWarmup);
@@ -345,7 +345,7 @@
   }
   static double PeakFullnessWithTwoLenders(const LenderOptions& lender) {
     FleetOptions options{.gateways = 2, .seed = 22};
-    options.limits.keeper = lender;
+    options.limits.lender = lender;
     SimulatedFleet fleet(options);
     fleet.SetDemand({DemandOf("t", 100, 10, 800)});
     fleet.Run(kWarmup);
--- a/test/node/node_reports_test.cc
+++ b/test/node/node_reports_test.cc
@@ -32,7 +32,7 @@
     CPPUNIT_ASSERT_EQUAL(size_t{2}, resent.size());
     CPPUNIT_ASSERT_EQUAL(first.front().number, resent.back().number);
     CPPUNIT_ASSERT_EQUAL(reply.leaf, resent.back().lost.at(0).leaf);
-    h.Receive(wire::RunReportTaken{resent.back().number});
+    h.Receive(wire::RunReportAck{resent.back().number});
     h.AdvanceClock(Seconds(20));
     CPPUNIT_ASSERT_EQUAL(size_t{2}, h.SentToControl<wire::RunReport>().size());
   }
--- a/test/platform/mortal_leaf.cc
+++ b/test/platform/crashing_leaf.cc
@@ -1,4 +1,4 @@
-#include "platform/mortal_leaf.h"
+#include "platform/crashing_leaf.h"
 
 #include <cppunit/TestAssert.h>
 
--- a/test/platform/dialect_test.cc
+++ b/test/platform/dialect_test.cc
@@ -87,7 +87,7 @@
     document["backends"][0]["warmup_per_s"] = 4.0;
     const auto set = RouteDocumentReader().Read(document.dump());
     CPPUNIT_ASSERT(set.ok());
-    CPPUNIT_ASSERT(set->routes[0].homes == (std::set<std::string>{"east", "west"}));
+    CPPUNIT_ASSERT(set->routes[0].allowed_regions == (std::set<std::string>{"east", "west"}));
     CPPUNIT_ASSERT(set->services[0].warm_up == Milliseconds(3500));
     CPPUNIT_ASSERT_EQUAL(4.0, set->services[0].cold_requests_per_second);
     struct Case {
@@ -345,10 +345,10 @@
     const auto leave = dialect.ReadCommand(Request("POST", "/v1/instances/i-7/deregister"));
     CPPUNIT_ASSERT_EQUAL(std::string("i-7"), std::get<control::RetireLeaf>(*leave).leaf);
     const auto start = dialect.ReadCommand(Request("POST", "/v1/evacuate/hall-1/start"));
-    CPPUNIT_ASSERT_EQUAL(std::string("hall-1"), std::get<control::OrderZone>(*start).zone);
-    CPPUNIT_ASSERT(std::get<control::OrderZone>(*start).evacuated);
+    CPPUNIT_ASSERT_EQUAL(std::string("hall-1"), std::get<control::SetZoneEvacuation>(*start).zone);
+    CPPUNIT_ASSERT(std::get<control::SetZoneEvacuation>(*start).evacuated);
     const auto stop = dialect.ReadCommand(Request("POST", "/v1/evacuate/hall-1/stop"));
-    CPPUNIT_ASSERT(!std::get<control::OrderZone>(*stop).evacuated);
+    CPPUNIT_ASSERT(!std::get<control::SetZoneEvacuation>(*stop).evacuated);
     const auto heartbeat = dialect.ReadCommand(
         Request("POST", "/v1/instances/i-7/heartbeat",
                 R"({"backend":"s1","address":"10.0.0.9:80","zone":"north","version":"v1","slots":2,
--- a/test/platform/fatal_request_test.cc
+++ b/test/platform/fatal_request_test.cc
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "common/json.h"
-#include "platform/mortal_leaf.h"
+#include "platform/crashing_leaf.h"
 #include "platform/platform_fleet.h"
 
 namespace pumicedyke::platform {
--- a/test/platform/tenant_document_test.cc
+++ b/test/platform/tenant_document_test.cc
@@ -193,12 +193,12 @@
   }
 
   void WithoutTenantsCallerHeadersArePassedOn() {
-    CPPUNIT_ASSERT(gateway::HeadWithCaller(Read({})) == nullptr);
+    CPPUNIT_ASSERT(gateway::HeadWithCallerHeaders(Read({})) == nullptr);
     const gateway::PayloadRequest request = Read({{"Authorization", "Bearer hush-1"},
                                                   {"X-Kept", "yes"},
                                                   {"X-Tenant", "plain"},
                                                   {"Authorization", "second"}});
-    const std::string head = *gateway::HeadWithCaller(request);
+    const std::string head = *gateway::HeadWithCallerHeaders(request);
     for (const char* line : {"GET /x/1 HTTP/1.1\r\n", "\r\nX-Kept: yes\r\n",
                              "\r\nX-Tenant: plain\r\n", "\r\nAuthorization: Bearer hush-1\r\n"}) {
       CPPUNIT_ASSERT_MESSAGE(line, head.find(line) != std::string::npos);
@@ -219,7 +219,7 @@
     CPPUNIT_ASSERT_EQUAL(request->encoded_head, *call.shared_head);
     send.tenant.clear();
     CPPUNIT_ASSERT(http::FindHeader(dialect.WriteLeafRequest(send).headers, "X-Tenant") == nullptr);
-    send.head = gateway::HeadWithCaller(*request);
+    send.head = gateway::HeadWithCallerHeaders(*request);
     CPPUNIT_ASSERT(dialect.WriteLeafRequest(send).shared_head->find("X-Tenant: plain") !=
                    std::string::npos);
   }
--- a/test/quarantine/crash_evidence_test.cc
+++ b/test/quarantine/crash_evidence_test.cc
@@ -35,14 +35,14 @@
   }
   void Answers(const std::string& leaf) {
     wire::RunReport report;
-    report.answering = {leaf};
+    report.alive_leafs = {leaf};
     evidence.OnReport(now, report);
   }
   bool IsConfirmed(const RequestIdentity& request,
                    const std::set<RequestIdentity>& known_fatal = {}) const {
-    const std::vector<Verdict> confirmed = evidence.Guilty(known_fatal);
+    const std::vector<CrashFinding> confirmed = evidence.FatalRequests(known_fatal);
     return std::any_of(confirmed.begin(), confirmed.end(),
-                       [&](const Verdict& verdict) { return verdict.identity == request; });
+                       [&](const CrashFinding& finding) { return finding.identity == request; });
   }
 };
 
@@ -170,7 +170,7 @@
                     concurrent_present ? std::vector{other, kConcurrent} : std::vector{other},
                     turn);
     }
-    CPPUNIT_ASSERT(fixture.evidence.Guilty({}).empty());
+    CPPUNIT_ASSERT(fixture.evidence.FatalRequests({}).empty());
   }
 
   void TwoFatalRequestsAreBothFound() {
@@ -196,7 +196,7 @@
     for (uint64_t turn = 0; turn < 4 * kRequests; ++turn) {
       fixture.Crash("leaf" + std::to_string(turn), {nth(turn % kRequests)}, turn);
     }
-    CPPUNIT_ASSERT_EQUAL(size_t{kRequests}, fixture.evidence.Guilty({}).size());
+    CPPUNIT_ASSERT_EQUAL(size_t{kRequests}, fixture.evidence.FatalRequests({}).size());
   }
 
   /// Several clients keep retrying while leafs crash for an unrelated reason, so that each crash
@@ -210,7 +210,7 @@
     for (uint64_t turn = 0; turn < 6 * kCallers; ++turn) {
       fixture.Crash("leaf" + std::to_string(turn), {nth(turn), nth(turn + 1), nth(turn + 3)}, turn);
     }
-    CPPUNIT_ASSERT(fixture.evidence.Guilty({}).empty());
+    CPPUNIT_ASSERT(fixture.evidence.FatalRequests({}).empty());
   }
 
   void KnownFatalRequestIsConfirmedAtTheNextCrash() {
@@ -218,7 +218,7 @@
     fixture.Crash("a", {kFatal}, 1);
     CPPUNIT_ASSERT(!fixture.IsConfirmed(kFatal));
     CPPUNIT_ASSERT(fixture.IsConfirmed(kFatal, {kFatal}));
-    fixture.evidence.Acquit(kFatal);
+    fixture.evidence.Clear(kFatal);
     CPPUNIT_ASSERT(!fixture.IsConfirmed(kFatal, {kFatal}));
   }
 
--- a/test/quarantine/report_sender_test.cc
+++ b/test/quarantine/report_sender_test.cc
@@ -50,9 +50,9 @@
       now = *sender.next();
       CPPUNIT_ASSERT(sender.TakeDue(now).has_value());
     }
-    sender.OnTaken(2);
+    sender.OnAcknowledged(2);
     CPPUNIT_ASSERT(sender.next().has_value());
-    sender.OnTaken(1);
+    sender.OnAcknowledged(1);
     CPPUNIT_ASSERT(!sender.next().has_value());
     CPPUNIT_ASSERT(!sender.TakeDue(now + Seconds(60)).has_value());
   }
@@ -64,7 +64,7 @@
     sender.Add(kStart + Milliseconds(20), Lost("b"));
     CPPUNIT_ASSERT_EQUAL(std::string("a"), sender.TakeDue(kStart)->lost.front().leaf);
     CPPUNIT_ASSERT(!sender.TakeDue(kStart + Milliseconds(30)).has_value());
-    sender.OnTaken(1);
+    sender.OnAcknowledged(1);
     const auto second = sender.TakeDue(kStart + Milliseconds(30));
     CPPUNIT_ASSERT_EQUAL(uint64_t{2}, second->number);
     CPPUNIT_ASSERT(second->age == Milliseconds(10));
--- a/test/query/answer_moment_test.cc
+++ b/test/query/answer_timing_test.cc
@@ -1,6 +1,6 @@
 // When an answer with missing shard results is sent, tested without a clock. Each load models one
 // kind of gateway.
-#include "query/answer_moment.h"
+#include "query/answer_timing.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 #include <rapidcheck.h>
@@ -126,7 +126,7 @@
     const std::vector<Duration> times = client.ArrivalTimes();
     const Duration lag = client.Lag();
     const Outcome learned = SimulateAnswer(load, times, lag, [&](Duration elapsed, size_t covered) {
-      return BestMoment({elapsed, kObjective - load.round_trip, covered, kShards}, curve, lags);
+      return BestAnswerTime({elapsed, kObjective - load.round_trip, covered, kShards}, curve, lags);
     });
     const Outcome fixed = SimulateAnswer(
         load, times, lag, [&](Duration, size_t) { return kObjective - fixed_margin; });
@@ -166,8 +166,8 @@
 
 }  // namespace
 
-class AnswerMomentTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(AnswerMomentTest);
+class AnswerTimingTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(AnswerTimingTest);
   CPPUNIT_TEST(WaitsWhileLagIsSmall);
   CPPUNIT_TEST(AnswersImmediatelyIfNoMoreResultsArrive);
   CPPUNIT_TEST(TenfoldLagAnswersEarlier);
@@ -183,16 +183,17 @@
   /// A fixed margin answered this load after 38.8 ms whatever was missing.
   void WaitsWhileLagIsSmall() {
     const Duration due = kObjective - kLargeGateway.round_trip;
-    const Duration answer_time = BestMoment({Milliseconds(30), due, kShards - 3, kShards},
-                                            ArrivalCurve(kObjective), LagOf(kLargeGateway));
+    const Duration answer_time = BestAnswerTime({Milliseconds(30), due, kShards - 3, kShards},
+                                                ArrivalCurve(kObjective), LagOf(kLargeGateway));
     CPPUNIT_ASSERT(answer_time > Milliseconds(42));
-    CPPUNIT_ASSERT(LagOf(kLargeGateway).ShareWithin(due - answer_time) > 0.9);
+    CPPUNIT_ASSERT(LagOf(kLargeGateway).ShareUpTo(due - answer_time) > 0.9);
   }
 
   void AnswersImmediatelyIfNoMoreResultsArrive() {
     const Duration now = Milliseconds(30);
-    const Duration answer_time = BestMoment({now, Milliseconds(44), kShards - 3, kShards},
-                                            CurveEndingAt(Milliseconds(25)), LagOf(kSmallGateway));
+    const Duration answer_time =
+        BestAnswerTime({now, Milliseconds(44), kShards - 3, kShards},
+                       CurveEndingAt(Milliseconds(25)), LagOf(kSmallGateway));
     CPPUNIT_ASSERT(answer_time == now);
   }
 
@@ -200,15 +201,15 @@
     const PendingAnswer pending{Milliseconds(15), kObjective - kLargeGateway.round_trip,
                                 kShards - 4, kShards};
     const ArrivalCurve curve(kObjective);
-    const Duration usual = BestMoment(pending, curve, LagOf(kLargeGateway));
-    const Duration late = BestMoment(pending, curve, LagOf(kLateGateway));
+    const Duration usual = BestAnswerTime(pending, curve, LagOf(kLargeGateway));
+    const Duration late = BestAnswerTime(pending, curve, LagOf(kLateGateway));
     CPPUNIT_ASSERT(usual >= late + Milliseconds(10));
   }
 
   void AnswersImmediatelyWhenAlreadyLate() {
     const Duration now = Milliseconds(60);
-    CPPUNIT_ASSERT(BestMoment({now, Milliseconds(44), kMinCovered, kShards},
-                              ArrivalCurve(kObjective), LagOf(kSmallGateway)) == now);
+    CPPUNIT_ASSERT(BestAnswerTime({now, Milliseconds(44), kMinCovered, kShards},
+                                  ArrivalCurve(kObjective), LagOf(kSmallGateway)) == now);
   }
 
   /// All answers were sent after 25 ms, so arrivals after that are unknown.
@@ -249,7 +250,7 @@
       const Duration now = Microseconds(*rc::gen::inRange(0, 80'000));
       const Duration due = Microseconds(*rc::gen::inRange(-10'000, 60'000));
       const auto covered = static_cast<size_t>(*rc::gen::inRange(1, static_cast<int>(kShards)));
-      const Duration answer_time = BestMoment({now, due, covered, kShards}, curve, lag);
+      const Duration answer_time = BestAnswerTime({now, due, covered, kShards}, curve, lag);
       RC_ASSERT(answer_time >= now);
       RC_ASSERT(answer_time <= std::max(now, due));
     });
@@ -266,6 +267,6 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(AnswerMomentTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(AnswerTimingTest);
 
 }  // namespace pumicedyke::query
--- a/test/query/refusal_load_test.cc
+++ b/test/query/refusal_load_test.cc
@@ -18,7 +18,7 @@
 #include <vector>
 
 #include "gateway/gateway_server.h"
-#include "query/extra_order.h"
+#include "query/extra_load_priority.h"
 #include "query/request_execution.h"
 
 namespace pumicedyke::query {
@@ -167,7 +167,7 @@
       for (size_t shard = 0; shard < kShards; ++shard) {
         owner.budgets.push_back(
             std::make_unique<balance::SlidingWindowBudget>(Seconds(10), kRatio));
-        owner.budgets.back()->SetAllowance(load_.extra_budget / kOwners);
+        owner.budgets.back()->SetBurst(load_.extra_budget / kOwners);
       }
       for (const auto& [name, leaf] : leafs_) {
         owner.pool->Configure(kStart, name, kSlots);
@@ -213,10 +213,10 @@
     plan.hedge_quantile = gateway::GatewayKnobs{}.hedge_quantile;
     plan.max_attempts = 2;
     ExecutionOptions options = gateway::GatewayOptions{}.execution;
-    options.report_parts = true;
-    options.ask_refusing_again = strategy_.retry_refusals;
+    options.report_shard_results = true;
+    options.retry_refusing_leafs = strategy_.retry_refusals;
     options.rank = RankOf(id);
-    options.may_miss = MayMiss(kShards, load_.min_coverage, kGroups, group, id);
+    options.max_missing = MaxMissing(kShards, load_.min_coverage, kGroups, group, id);
     CallerRequest caller;
     caller.service = "all";
     caller.snapshot = snapshot.id;
@@ -236,8 +236,8 @@
       Schedule(now_ + kNetworkLatency,
                [this, index, group, send] { OnArrival(index, group, send); });
     }
-    group_execution.covered += group_execution.execution->TakeNewParts().size();
-    group_execution.gaps += group_execution.execution->TakeNewGaps().size();
+    group_execution.covered += group_execution.execution->TakeNewShardResults().size();
+    group_execution.gaps += group_execution.execution->TakeNewMissingShards().size();
     group_execution.done = actions.answer.has_value();
     EvaluateGather(index);
     if (!group_execution.done && !gather.ended) {
@@ -467,14 +467,14 @@
       const std::string id = "request-" + std::to_string(i);
       size_t miss = 0;
       for (size_t group = 0; group < 7; ++group) {
-        const size_t allowed = MayMiss(90, 0.95, 7, group, id);
+        const size_t allowed = MaxMissing(90, 0.95, 7, group, id);
         CPPUNIT_ASSERT(allowed <= 1);
         miss += allowed;
       }
       CPPUNIT_ASSERT_EQUAL(size_t{4}, miss);
     }
-    CPPUNIT_ASSERT_EQUAL(size_t{0}, MayMiss(20, 1.0, 1, 0, "a"));
-    CPPUNIT_ASSERT_EQUAL(size_t{2}, MayMiss(20, 0.9, 1, 0, "a"));
+    CPPUNIT_ASSERT_EQUAL(size_t{0}, MaxMissing(20, 1.0, 1, 0, "a"));
+    CPPUNIT_ASSERT_EQUAL(size_t{2}, MaxMissing(20, 0.9, 1, 0, "a"));
   }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(RefusalLoadTest);
--- a/test/query/shared_gather_test.cc
+++ b/test/query/shared_gather_test.cc
@@ -46,18 +46,18 @@
       answer.records += std::string(16, 'r');
     }
     answer.run = static_cast<uint32_t>(run);
-    gather_.OnWord(now, answer);
+    gather_.OnPartialAnswer(now, answer);
     CollectActions();
   }
   /// Reports shards as abandoned by a merger that works on the others.
   void ReceiveGaps(uint64_t id, const std::vector<uint32_t>& shards) {
     wire::PartialAnswer answer;
     answer.id = id;
-    answer.stage = wire::PartialStage::kParts;
+    answer.stage = wire::PartialStage::kShardResults;
     for (const uint32_t shard : shards) {
       answer.gaps.push_back({shard, static_cast<uint32_t>(MissingReason::kShed)});
     }
-    gather_.OnWord(now, answer);
+    gather_.OnPartialAnswer(now, answer);
     CollectActions();
   }
   void Disconnect(const std::string& merger) {
@@ -73,13 +73,15 @@
     }
   }
 
-  void SetDue(SharedGather::AnswerTimeCb due) { gather_.SetDue(std::move(due)); }
+  void SetAnswerTimeCallback(SharedGather::AnswerTimeCb due) {
+    gather_.SetAnswerTimeCallback(std::move(due));
+  }
 
   Timestamp now = kStart;
-  std::vector<GroupQuestion> partial_queries;
+  std::vector<OutgoingPartialQuery> partial_queries;
   std::vector<uint64_t> confirmed;
   std::vector<GroupCancel> cancels;
-  std::vector<std::string> silent;
+  std::vector<std::string> abandoned_mergers;
   std::optional<SharedOutcome> outcome;
 
  private:
@@ -97,13 +99,14 @@
   }
   void CollectActions() {
     SharedGatherActions actions = gather_.TakeActions();
-    partial_queries.insert(partial_queries.end(), actions.questions.begin(),
-                           actions.questions.end());
+    partial_queries.insert(partial_queries.end(), actions.partial_queries.begin(),
+                           actions.partial_queries.end());
     for (const GroupConfirmation& confirmation : actions.confirmations) {
       confirmed.push_back(confirmation.id);
     }
     cancels.insert(cancels.end(), actions.cancels.begin(), actions.cancels.end());
-    silent.insert(silent.end(), actions.silent.begin(), actions.silent.end());
+    abandoned_mergers.insert(abandoned_mergers.end(), actions.abandoned_mergers.begin(),
+                             actions.abandoned_mergers.end());
     if (actions.outcome.has_value()) {
       CPPUNIT_ASSERT(!outcome.has_value());
       outcome = std::move(actions.outcome);
@@ -148,18 +151,18 @@
   void SendsPartialAnswerAtComputedTime() {
     GatherHarness gather;
     std::vector<size_t> covered_counts;
-    gather.SetDue([&covered_counts](Duration elapsed, size_t covered) {
+    gather.SetAnswerTimeCallback([&covered_counts](Duration elapsed, size_t covered) {
       covered_counts.push_back(covered);
       CPPUNIT_ASSERT(elapsed == Milliseconds(covered == 2 ? 20 : 30));
       return Milliseconds(covered == 2 ? 200 : 120);
     });
     gather.AdvanceClock(Milliseconds(10));
-    gather.Receive(1, wire::PartialStage::kParts, {0});
+    gather.Receive(1, wire::PartialStage::kShardResults, {0});
     CPPUNIT_ASSERT(covered_counts.empty());
     gather.AdvanceClock(Milliseconds(10));
-    gather.Receive(2, wire::PartialStage::kParts, {0});
+    gather.Receive(2, wire::PartialStage::kShardResults, {0});
     gather.AdvanceClock(Milliseconds(10));
-    gather.Receive(1, wire::PartialStage::kParts, {1});
+    gather.Receive(1, wire::PartialStage::kShardResults, {1});
     CPPUNIT_ASSERT((covered_counts == std::vector<size_t>{2, 3}));
     gather.AdvanceClock(Milliseconds(89));
     CPPUNIT_ASSERT(!gather.outcome.has_value());
@@ -172,11 +175,11 @@
   void SendsCompleteAnswerImmediately() {
     GatherHarness g;
     CPPUNIT_ASSERT_EQUAL(size_t{2}, g.partial_queries.size());
-    CPPUNIT_ASSERT(!g.partial_queries[0].again);
+    CPPUNIT_ASSERT(!g.partial_queries[0].reassigned);
     g.Receive(1, wire::PartialStage::kAccepted);
     g.Receive(1, wire::PartialStage::kDone, {0, 1});
     CPPUNIT_ASSERT(!g.outcome.has_value());
-    g.Receive(2, wire::PartialStage::kParts, {0});
+    g.Receive(2, wire::PartialStage::kShardResults, {0});
     g.Receive(2, wire::PartialStage::kDone, {1});
     CPPUNIT_ASSERT(g.outcome->code == ResultCode::kOk);
     CPPUNIT_ASSERT_EQUAL(size_t{4}, g.outcome->signatures.size());
@@ -202,10 +205,10 @@
     GatherHarness g;
     g.Receive(1, wire::PartialStage::kAccepted);
     g.Receive(2, wire::PartialStage::kAccepted);
-    g.Receive(1, wire::PartialStage::kParts, {0});
+    g.Receive(1, wire::PartialStage::kShardResults, {0});
     g.AdvanceClock(Milliseconds(100));
     CPPUNIT_ASSERT(!g.outcome.has_value());
-    g.Receive(2, wire::PartialStage::kParts, {1});
+    g.Receive(2, wire::PartialStage::kShardResults, {1});
     CPPUNIT_ASSERT(g.outcome->code == ResultCode::kPartial);
   }
 
@@ -215,23 +218,23 @@
     CPPUNIT_ASSERT_EQUAL(size_t{3}, g.partial_queries.size());
     CPPUNIT_ASSERT_EQUAL(std::string("m1"), g.partial_queries[2].merger);
     CPPUNIT_ASSERT_EQUAL(uint32_t{2}, g.partial_queries[2].max_attempts);
-    CPPUNIT_ASSERT(!g.partial_queries[2].again);
+    CPPUNIT_ASSERT(!g.partial_queries[2].reassigned);
   }
 
   void SilentMergerIsReplacedWithOneAttemptLess() {
     GatherHarness g;
     g.Receive(2, wire::PartialStage::kAccepted);
-    g.AdvanceClock(GatherHarness::Options().accept_patience);
+    g.AdvanceClock(GatherHarness::Options().accept_timeout);
     CPPUNIT_ASSERT_EQUAL(size_t{3}, g.partial_queries.size());
     CPPUNIT_ASSERT_EQUAL(uint32_t{1}, g.partial_queries[2].max_attempts);
-    CPPUNIT_ASSERT(g.partial_queries[2].again);
+    CPPUNIT_ASSERT(g.partial_queries[2].reassigned);
     // The standby merger sends nothing before it is confirmed, and until then the silent one may
     // still answer.
-    CPPUNIT_ASSERT(g.partial_queries[2].stand_by);
+    CPPUNIT_ASSERT(g.partial_queries[2].await_confirmation);
     CPPUNIT_ASSERT(g.cancels.empty());
     g.Receive(3, wire::PartialStage::kAccepted);
     CPPUNIT_ASSERT(g.confirmed == (std::vector<uint64_t>{2, 3}));
-    CPPUNIT_ASSERT_EQUAL(std::string("m0"), g.silent.at(0));
+    CPPUNIT_ASSERT_EQUAL(std::string("m0"), g.abandoned_mergers.at(0));
     CPPUNIT_ASSERT_EQUAL(uint64_t{1}, g.cancels.at(0).id);
     CPPUNIT_ASSERT(g.cancels[0].stop_work);
   }
@@ -239,7 +242,7 @@
   void SlowMergerContinuesIfItAnswersFirst() {
     GatherHarness g;
     g.Receive(2, wire::PartialStage::kAccepted);
-    g.AdvanceClock(GatherHarness::Options().accept_patience);
+    g.AdvanceClock(GatherHarness::Options().accept_timeout);
     g.Receive(1, wire::PartialStage::kAccepted);
     CPPUNIT_ASSERT(g.confirmed == (std::vector<uint64_t>{2, 1}));
     CPPUNIT_ASSERT_EQUAL(uint64_t{3}, g.cancels.at(0).id);
@@ -253,7 +256,7 @@
   void ManySilentMergersUseOneAttempt() {
     GatherHarness g;
     g.Receive(2, wire::PartialStage::kDone, {0, 1});
-    g.AdvanceClock(3 * GatherHarness::Options().accept_patience);
+    g.AdvanceClock(3 * GatherHarness::Options().accept_timeout);
     // Two standby mergers are silent as well; the last available one answers.
     CPPUNIT_ASSERT_EQUAL(size_t{5}, g.partial_queries.size());
     CPPUNIT_ASSERT_EQUAL(uint32_t{1}, g.partial_queries[4].max_attempts);
@@ -266,7 +269,7 @@
   /// tried one after the other.
   void WaitingForStandbyDoesNotBusyLoop() {
     SharedGatherOptions options;
-    options.accept_patience = Milliseconds(100);
+    options.accept_timeout = Milliseconds(100);
     SharedGather gather(
         GatherHarness::Plan(2), {{0, 4}}, options,
         [](Timestamp, size_t, const std::set<std::string>& tried) {
@@ -290,7 +293,7 @@
     g.Receive(2, wire::PartialStage::kDone, {0, 1});
     g.Disconnect("m0");
     CPPUNIT_ASSERT_EQUAL(size_t{3}, g.partial_queries.size());
-    CPPUNIT_ASSERT(g.partial_queries[2].stand_by);
+    CPPUNIT_ASSERT(g.partial_queries[2].await_confirmation);
     g.Disconnect("m1");
     CPPUNIT_ASSERT_EQUAL(size_t{4}, g.partial_queries.size());
     CPPUNIT_ASSERT_EQUAL(uint32_t{1}, g.partial_queries[3].max_attempts);
@@ -302,7 +305,7 @@
     GatherHarness g;
     g.Receive(2, wire::PartialStage::kAccepted);
     g.Receive(2, wire::PartialStage::kAccepted);
-    g.AdvanceClock(GatherHarness::Options().accept_patience);
+    g.AdvanceClock(GatherHarness::Options().accept_timeout);
     g.Receive(3, wire::PartialStage::kAccepted);
     g.Receive(1, wire::PartialStage::kAccepted);
     CPPUNIT_ASSERT(g.confirmed == (std::vector<uint64_t>{2, 3}));
@@ -311,7 +314,7 @@
   void LastAttemptIsAssignedOnce() {
     GatherHarness g(/*max_attempts=*/1);
     g.Receive(2, wire::PartialStage::kAccepted);
-    g.AdvanceClock(GatherHarness::Options().accept_patience);
+    g.AdvanceClock(GatherHarness::Options().accept_timeout);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, g.partial_queries.size());
   }
 
@@ -340,7 +343,7 @@
   void LateAnswerOfReplacedMergerIsIgnored() {
     GatherHarness g;
     g.Receive(2, wire::PartialStage::kDone, {0, 1});
-    g.AdvanceClock(GatherHarness::Options().accept_patience);
+    g.AdvanceClock(GatherHarness::Options().accept_timeout);
     g.Receive(3, wire::PartialStage::kAccepted);
     g.Receive(1, wire::PartialStage::kDone, {0, 1});
     CPPUNIT_ASSERT(!g.outcome.has_value());
@@ -394,7 +397,7 @@
     GatherHarness g;
     g.Receive(1, wire::PartialStage::kAccepted);
     g.ReceiveGaps(1, {0, 1});
-    g.Receive(1, wire::PartialStage::kParts, {0});
+    g.Receive(1, wire::PartialStage::kShardResults, {0});
     g.Receive(1, wire::PartialStage::kDone);
     g.Receive(2, wire::PartialStage::kDone, {0, 1});
     CPPUNIT_ASSERT(g.outcome->code == ResultCode::kPartial);
@@ -426,7 +429,7 @@
       const int steps = *rc::gen::inRange(1, 40);
       for (int i = 0; i < steps && !g.outcome.has_value(); ++i) {
         const size_t index = *rc::gen::inRange<size_t>(0, g.partial_queries.size());
-        const GroupQuestion partial_query = g.partial_queries[index];
+        const OutgoingPartialQuery partial_query = g.partial_queries[index];
         switch (*rc::gen::inRange(0, 5)) {
           case 0:
             g.Receive(partial_query.id, wire::PartialStage::kAccepted);
@@ -452,12 +455,12 @@
       // Attempts that each merger may make: all of its attempts if confirmed, none on standby,
       // otherwise one.
       std::map<size_t, uint32_t> attempts;
-      for (const GroupQuestion& partial_query : g.partial_queries) {
+      for (const OutgoingPartialQuery& partial_query : g.partial_queries) {
         const bool confirmed = std::find(g.confirmed.begin(), g.confirmed.end(),
                                          partial_query.id) != g.confirmed.end();
         RC_ASSERT(partial_query.max_attempts >= 1);
         const bool refused = refusals.contains(partial_query.id);
-        const uint32_t unconfirmed = partial_query.stand_by ? 0 : 1;
+        const uint32_t unconfirmed = partial_query.await_confirmation ? 0 : 1;
         attempts[partial_query.group] += refused     ? 0
                                          : confirmed ? partial_query.max_attempts
                                                      : unconfirmed;
--- a/test/registry/leaf_incarnations_test.cc
+++ b/test/registry/leaf_incarnations_test.cc
@@ -34,17 +34,17 @@
   void SequenceRestarts() {
     LeafRegistry registry({});
     registry.OnReport(kStart, Report(1000, 50));
-    CPPUNIT_ASSERT(registry.OnReport(kStart, Report(2000, 1)) == ReportVerdict::kReborn);
-    CPPUNIT_ASSERT(registry.OnReport(kStart, Report(2000, 2)) == ReportVerdict::kUnchanged);
-    CPPUNIT_ASSERT(registry.OnReport(kStart, Report(2000, 2)) == ReportVerdict::kStale);
+    CPPUNIT_ASSERT(registry.OnReport(kStart, Report(2000, 1)) == ReportResult::kRestarted);
+    CPPUNIT_ASSERT(registry.OnReport(kStart, Report(2000, 2)) == ReportResult::kUnchanged);
+    CPPUNIT_ASSERT(registry.OnReport(kStart, Report(2000, 2)) == ReportResult::kStale);
   }
 
   void HeartbeatsOfThePreviousIncarnationAreStale() {
     LeafRegistry registry({});
     registry.OnReport(kStart, Report(2000, 1));
-    CPPUNIT_ASSERT(registry.OnReport(kStart, Report(1000, 51, true)) == ReportVerdict::kStale);
+    CPPUNIT_ASSERT(registry.OnReport(kStart, Report(1000, 51, true)) == ReportResult::kStale);
     // A heartbeat without an incarnation comes from another process.
-    CPPUNIT_ASSERT(registry.OnReport(kStart, Report(0, 52, true)) == ReportVerdict::kStale);
+    CPPUNIT_ASSERT(registry.OnReport(kStart, Report(0, 52, true)) == ReportResult::kStale);
     CPPUNIT_ASSERT(!registry.Find("a")->draining);
     // Heartbeats of the previous incarnation do not keep the leaf from being dropped either.
     for (uint64_t i = 1; i <= 6; ++i) {
@@ -69,7 +69,7 @@
     CPPUNIT_ASSERT(registry.Find("a")->draining);
     // A later incarnation announces its departure before its first heartbeat.
     CPPUNIT_ASSERT(registry.OnDeparture(kStart, "a", 3000));
-    CPPUNIT_ASSERT(registry.OnReport(kStart, Report(2000, 9)) == ReportVerdict::kStale);
+    CPPUNIT_ASSERT(registry.OnReport(kStart, Report(2000, 9)) == ReportResult::kStale);
     registry.OnReport(kStart, Report(3000, 1));
     CPPUNIT_ASSERT(registry.Find("a")->draining);
   }
@@ -97,19 +97,19 @@
     registry.OnReport(kStart, Report(1000, 9));
     LeafReport moved = Report(2000, 1);
     moved.record.address = "10.0.0.2:80";
-    CPPUNIT_ASSERT(registry.OnReport(kStart, moved) == ReportVerdict::kReborn);
+    CPPUNIT_ASSERT(registry.OnReport(kStart, moved) == ReportResult::kRestarted);
     // The previous address is free for another leaf, even with a high sequence number.
     LeafReport other = Report(1500, 40);
     other.record.leaf = "b";
-    CPPUNIT_ASSERT(registry.OnReport(kStart, other) == ReportVerdict::kNew);
+    CPPUNIT_ASSERT(registry.OnReport(kStart, other) == ReportResult::kNew);
     CPPUNIT_ASSERT_EQUAL(size_t{2}, registry.size());
   }
 
   void UnknownIncarnationIsOrderedBySequence() {
     LeafRegistry registry({});
     registry.OnReport(kStart, Report(0, 5));
-    CPPUNIT_ASSERT(registry.OnReport(kStart, Report(0, 5)) == ReportVerdict::kStale);
-    CPPUNIT_ASSERT(registry.OnReport(kStart, Report(0, 6)) == ReportVerdict::kUnchanged);
+    CPPUNIT_ASSERT(registry.OnReport(kStart, Report(0, 5)) == ReportResult::kStale);
+    CPPUNIT_ASSERT(registry.OnReport(kStart, Report(0, 6)) == ReportResult::kUnchanged);
   }
 
   void ReceiversGetTheNewIncarnation() {
@@ -120,7 +120,7 @@
     const wire::LeafFeed feed = registry.ChangesSince(kStart, seen);
     CPPUNIT_ASSERT_EQUAL(size_t{1}, feed.records.size());
     CPPUNIT_ASSERT_EQUAL(uint64_t{2000}, feed.records.front().born_ms);
-    CPPUNIT_ASSERT(feed.gone.empty());
+    CPPUNIT_ASSERT(feed.removed.empty());
   }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(LeafIncarnationsTest);
--- a/test/registry/leaf_registry_test.cc
+++ b/test/registry/leaf_registry_test.cc
@@ -30,7 +30,7 @@
   for (const wire::LeafRecord& record : feed.records) {
     (*view)[record.leaf] = record;
   }
-  for (const std::string& leaf : feed.gone) {
+  for (const std::string& leaf : feed.removed) {
     view->erase(leaf);
   }
 }
@@ -62,14 +62,14 @@
                          registry.ChangesSince(kStart, 0).records.front().cold_milliseconds);
     report.sequence = 2;
     report.record.cold_milliseconds = 3000;
-    CPPUNIT_ASSERT(registry.OnReport(kStart, report) == ReportVerdict::kChanged);
+    CPPUNIT_ASSERT(registry.OnReport(kStart, report) == ReportResult::kChanged);
     // A later receiver gets the cold time left at that point.
     const Timestamp later = kStart + Seconds(1);
     CPPUNIT_ASSERT_EQUAL(uint64_t{2000},
                          registry.ChangesSince(later, 0).records.front().cold_milliseconds);
     report.sequence = 3;
     report.record.cold_milliseconds = 2000;
-    CPPUNIT_ASSERT(registry.OnReport(later, report) == ReportVerdict::kUnchanged);
+    CPPUNIT_ASSERT(registry.OnReport(later, report) == ReportResult::kUnchanged);
   }
 
   static LeafReport At(const std::string& address, const std::string& leaf, uint64_t sequence) {
@@ -81,9 +81,9 @@
   void LateHeartbeatOfAStoppedLeafTakesNoAddress() {
     LeafRegistry registry({});
     registry.OnReport(kStart, At("x:80", "living", 1));
-    const ReportVerdict verdict =
+    const ReportResult result =
         registry.OnReport(kStart + Milliseconds(500), At("x:80", "ended", 7));
-    CPPUNIT_ASSERT(verdict == ReportVerdict::kUnconfirmed);
+    CPPUNIT_ASSERT(result == ReportResult::kUnconfirmed);
     CPPUNIT_ASSERT(registry.Find("ended") == nullptr);
     CPPUNIT_ASSERT(registry.Find("living") != nullptr);
     registry.OnReport(kStart + Milliseconds(1200), At("x:80", "living", 2));
@@ -104,11 +104,11 @@
     LeafRegistry registry({});
     registry.OnReport(kStart, At("x:80", "ended", 9));
     CPPUNIT_ASSERT(registry.OnReport(kStart + Milliseconds(800), At("x:80", "new", 1)) ==
-                   ReportVerdict::kNew);
+                   ReportResult::kNew);
     CPPUNIT_ASSERT(registry.Find("ended") == nullptr);
     // A heartbeat of the stopped leaf that was still in transit arrives.
     CPPUNIT_ASSERT(registry.OnReport(kStart + Milliseconds(900), At("x:80", "ended", 10)) ==
-                   ReportVerdict::kUnconfirmed);
+                   ReportResult::kUnconfirmed);
   }
 
   void LeafThatKeepsReportingTakesTheAddressOfASilentOne() {
@@ -117,7 +117,7 @@
     registry.OnReport(kStart + Milliseconds(600), At("x:80", "new", 5));
     CPPUNIT_ASSERT(registry.Find("new") == nullptr);
     CPPUNIT_ASSERT(registry.OnReport(kStart + Milliseconds(1800), At("x:80", "new", 6)) ==
-                   ReportVerdict::kNew);
+                   ReportResult::kNew);
     CPPUNIT_ASSERT(registry.Find("ended") == nullptr);
   }
 
@@ -125,19 +125,19 @@
     LeafRegistry registry({});
     const std::string living = "living";
     CPPUNIT_ASSERT(registry.OnReport(kStart, At("x:80", "ended", 7), &living) ==
-                   ReportVerdict::kUnconfirmed);
+                   ReportResult::kUnconfirmed);
     // A leaf that is alive keeps reporting.
     CPPUNIT_ASSERT(registry.OnReport(kStart + Milliseconds(1200), At("x:80", "ended", 8),
-                                     &living) == ReportVerdict::kNew);
+                                     &living) == ReportResult::kNew);
   }
 
   void LateHeartbeatIsIgnored() {
     LeafRegistry registry({});
-    CPPUNIT_ASSERT(registry.OnReport(kStart, Report("a", 5)) == ReportVerdict::kNew);
-    CPPUNIT_ASSERT(registry.OnReport(kStart, Report("a", 4, true)) == ReportVerdict::kStale);
+    CPPUNIT_ASSERT(registry.OnReport(kStart, Report("a", 5)) == ReportResult::kNew);
+    CPPUNIT_ASSERT(registry.OnReport(kStart, Report("a", 4, true)) == ReportResult::kStale);
     CPPUNIT_ASSERT(!registry.Find("a")->draining);
-    CPPUNIT_ASSERT(registry.OnReport(kStart, Report("a", 6)) == ReportVerdict::kUnchanged);
-    CPPUNIT_ASSERT(registry.OnReport(kStart, Report("a", 7, true)) == ReportVerdict::kChanged);
+    CPPUNIT_ASSERT(registry.OnReport(kStart, Report("a", 6)) == ReportResult::kUnchanged);
+    CPPUNIT_ASSERT(registry.OnReport(kStart, Report("a", 7, true)) == ReportResult::kChanged);
   }
 
   void DrainingIsNeverRevoked() {
@@ -162,7 +162,7 @@
   void SilenceRestartsAfterReset() {
     LeafRegistry registry({.silence_limit = Seconds(6)});
     registry.OnReport(kStart, Report("a", 1));
-    registry.ForgiveSilence(kStart + Seconds(20));
+    registry.ResetSilence(kStart + Seconds(20));
     CPPUNIT_ASSERT(registry.DropSilent(kStart + Seconds(25)).empty());
     CPPUNIT_ASSERT_EQUAL(size_t{1}, registry.DropSilent(kStart + Seconds(26)).size());
   }
--- a/test/routing/homes_test.cc
+++ b/test/routing/allowed_regions_test.cc
@@ -1,12 +1,12 @@
 // Tests the allowed regions of a request, from its route and its tenant.
-#include "routing/homes.h"
+#include "routing/allowed_regions.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
 namespace pumicedyke::routing {
 
-class HomesTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(HomesTest);
+class AllowedRegionsTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(AllowedRegionsTest);
   CPPUNIT_TEST(RouteAndTenantBothBind);
   CPPUNIT_TEST_SUITE_END();
 
@@ -28,14 +28,15 @@
     };
     for (const Case& item : cases) {
       Route route;
-      route.homes = item.route;
+      route.allowed_regions = item.route;
       tenants::Tenant tenant;
-      tenant.homes = item.tenant;
-      CPPUNIT_ASSERT_MESSAGE(item.what, HomesOf(route, &tenant) == item.combined);
-      CPPUNIT_ASSERT_MESSAGE(item.what, HomesOf(route, nullptr) == std::optional(item.route));
+      tenant.allowed_regions = item.tenant;
+      CPPUNIT_ASSERT_MESSAGE(item.what, AllowedRegionsOf(route, &tenant) == item.combined);
+      CPPUNIT_ASSERT_MESSAGE(item.what,
+                             AllowedRegionsOf(route, nullptr) == std::optional(item.route));
     }
   }
 };
-CPPUNIT_TEST_SUITE_REGISTRATION(HomesTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(AllowedRegionsTest);
 
 }  // namespace pumicedyke::routing
--- a/test/soak/actors.h
+++ b/test/soak/actors.h
@@ -11,7 +11,7 @@
 
 #include "http/http_client.h"
 #include "net/event_loop.h"
-#include "platform/mortal_leaf.h"
+#include "platform/crashing_leaf.h"
 #include "platform/platform_fleet.h"
 #include "soak/observations.h"
 
--- a/test/wire/codec_test.cc
+++ b/test/wire/codec_test.cc
@@ -57,10 +57,10 @@
   }
 
   void LimitRequestsAndGrantsSurvive() {
-    const LimitAsk ask{uint64_t{5} << 40, "tenant", 3, 17, true, 2, uint64_t{4} << 40};
+    const LimitRequest ask{uint64_t{5} << 40, "tenant", 3, 17, true, 2, uint64_t{4} << 40};
     const auto asked = DecodeEnvelope(Encode(Envelope{"c", 1, ask}));
     CPPUNIT_ASSERT(asked.ok());
-    const auto& back = std::get<LimitAsk>(asked->body);
+    const auto& back = std::get<LimitRequest>(asked->body);
     CPPUNIT_ASSERT_EQUAL(ask.id, back.id);
     CPPUNIT_ASSERT_EQUAL(ask.tenant, back.tenant);
     CPPUNIT_ASSERT_EQUAL(ask.part, back.part);
@@ -93,11 +93,11 @@
     query.objective = Milliseconds(50);
     query.top_records = 5;
     query.max_attempts = 2;
-    query.again = true;
+    query.reassigned = true;
     query.groups = 9;
     query.shards = {"s1", "s2"};
     query.identity = {0x0123456789abcdef, 42};
-    query.homes = {"west"};
+    query.allowed_regions = {"west"};
     query.tenant = "acme";
     query.priority = 3;
     const auto decoded = DecodeEnvelope(Encode(Envelope{"c", 1, query}));
@@ -115,10 +115,10 @@
     CPPUNIT_ASSERT(query.objective == back.objective);
     CPPUNIT_ASSERT_EQUAL(query.top_records, back.top_records);
     CPPUNIT_ASSERT_EQUAL(query.max_attempts, back.max_attempts);
-    CPPUNIT_ASSERT(back.again);
+    CPPUNIT_ASSERT(back.reassigned);
     CPPUNIT_ASSERT_EQUAL(query.groups, back.groups);
     CPPUNIT_ASSERT(query.shards == back.shards);
-    CPPUNIT_ASSERT(query.homes == back.homes);
+    CPPUNIT_ASSERT(query.allowed_regions == back.allowed_regions);
     CPPUNIT_ASSERT_EQUAL(query.tenant, back.tenant);
     CPPUNIT_ASSERT_EQUAL(query.priority, back.priority);
   }
@@ -155,7 +155,7 @@
     CPPUNIT_ASSERT_EQUAL(uint64_t{4}, back.from_version);
     CPPUNIT_ASSERT_EQUAL(uint64_t{6}, back.version);
     CPPUNIT_ASSERT(back.peers == feed.peers);
-    CPPUNIT_ASSERT(back.gone == feed.gone);
+    CPPUNIT_ASSERT(back.removed == feed.removed);
     GatewayPresence presence{"g1", 3, "10.0.0.1:80", "north", true, 5, "10.0.0.1:7500", true, 6};
     const auto decoded_presence = DecodeEnvelope(Encode(Envelope{"c", 1, presence}));
     CPPUNIT_ASSERT(decoded_presence.ok());
@@ -211,7 +211,7 @@
     RunReport report;
     report.lost = {{{1, 2}, 3, "leaf-a", "desk"}, {{4, 5}, 6, "leaf-b", "desk"}};
     report.succeeded = {{7, 8}};
-    report.answering = {"leaf-c"};
+    report.alive_leafs = {"leaf-c"};
     report.relayed = true;
     const auto decoded = DecodeEnvelope(Encode(Envelope{"c", 1, report}));
     CPPUNIT_ASSERT(decoded.ok());
@@ -222,7 +222,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("leaf-b"), back.lost[1].leaf);
     CPPUNIT_ASSERT_EQUAL(std::string("desk"), back.lost[1].service);
     CPPUNIT_ASSERT(back.succeeded == report.succeeded);
-    CPPUNIT_ASSERT(back.answering == report.answering);
+    CPPUNIT_ASSERT(back.alive_leafs == report.alive_leafs);
     CPPUNIT_ASSERT(back.relayed);
     const SuspectNotice notice{{{9, 10}, {11, 12}}};
     const auto decoded_notice = DecodeEnvelope(Encode(Envelope{"c", 1, notice}));
