--- a/src/sim/node_host.h
+++ b/src/sim/node_host.h
@@ -48,7 +48,7 @@
 
  private:
   void Step();
-  void CarryOut();
+  void DispatchOutput();
   void ScheduleTick();
 
   node::NodeOptions options_;
