--- a/src/consensus/raft.h
+++ b/src/consensus/raft.h
@@ -92,7 +92,7 @@
   bool HasLease(Timestamp now) const;
 
   /// Returns the latest time, on this machine's clock, up to which this replica is proved current:
-  /// all that any process can have been told is committed by then is committed here. A majority
+  /// every entry that could have been reported as committed by then is committed here. A majority
   /// proves it, not a leader's lease, so it holds regardless of message delays, partitions and
   /// paused processes. @return nullopt before the first proof.
   std::optional<Timestamp> ProvenCurrentAt(Timestamp now) const;
@@ -157,7 +157,7 @@
   enum class ElectionCause : uint64_t {
     /// No message of a leader arrived for an election timeout.
     kLeaderTimeout = 0,
-    /// The old leader has given up its lease, so voters need not wait for the lease to expire.
+    /// The old leader has released its lease, so voters need not wait for the lease to expire.
     kTransfer = 1,
     /// The old leader has restarted and holds no lease, so voters that restarted need not wait.
     kLeaderRestarted = 2,
@@ -168,7 +168,7 @@
   /// Returns the voters at the time the leader of this term was elected; empty if the log does not
   /// show it.
   std::set<MemberId> Electorate() const;
-  /// Whether this replica has just started and has not heard from a leader yet.
+  /// Whether this replica has just started and has had no contact with a leader yet.
   bool IsStarting(Timestamp now) const;
   /// Whether this replica restarted so recently that a lease it acknowledged before may still be
   /// valid.
--- a/src/consensus/raft_election.cc
+++ b/src/consensus/raft_election.cc
@@ -267,7 +267,7 @@
   }
   ReplicateTo(now, best, false);
   Send(MakeMessage(RaftMessageType::kTimeoutNow, best));
-  // Stepping down also gives up the lease: the voters for the successor do not wait for it.
+  // Stepping down also releases the lease: the voters for the successor do not wait for it.
   BecomeFollower(now, hard_state_.term, 0);
 }
 
--- a/src/gateway/gateway_server.h
+++ b/src/gateway/gateway_server.h
@@ -115,9 +115,9 @@
   Duration progress_interval = Milliseconds(50);
   /// Time for which a merger that did not respond is ranked last.
   Duration merger_suspect_time = Seconds(2);
-  /// Fraction of the allowance of extra sub-requests that the owners of a shard share. All gateways
-  /// share the rest, which is little for each, because sub-requests to a shard are sent by its
-  /// owners.
+  /// Fraction of the extra sub-requests beyond the ratio (ExtraLoadBound) that the owners of a
+  /// shard share. All gateways share the rest, which is little for each, because sub-requests to a
+  /// shard are sent by its owners.
   double mergers_allowance_share = 0.9;
   /// Fraction of a leaf's connections that the mergers of its shard share.
   double mergers_connection_share = 0.75;
@@ -395,7 +395,7 @@
   Timestamp ColdUntil(const wire::LeafRecord& record, const routing::ServiceSpec& service) const;
   void MaintainControlLinks(Timestamp now);
   Duration PresenceInterval(Timestamp now, const std::string& address) const;
-  /// Follows a reachable control machine if the one asked for the first routes is not reachable.
+  /// Follows a reachable control machine if the one chosen for the first routes is not reachable.
   void SwitchToLiveControl(Timestamp now);
   /// Follows a control machine of this gateway's zone, if one has been in touch with a quorum for
   /// long enough: this avoids traffic between zones.
@@ -417,7 +417,7 @@
   }
   /// @param allowance this gateway's share of the extra sub-requests beyond the ratio.
   balance::ExtraLoadLimit* BudgetOf(const std::string& service, double allowance);
-  /// Returns the allowance of a gateway that is not a merger of the service.
+  /// Returns the `allowance` for a gateway that is not a merger of the service.
   double NonMergerAllowance(bool shared) const;
   RouteRuntime& RuntimeOf(const std::string& route, Duration objective);
   policy::QueryPlan PlanFor(const routing::Route& route, const PayloadRequest& request) const;
--- a/src/gateway/merger_placement.h
+++ b/src/gateway/merger_placement.h
@@ -47,11 +47,11 @@
 
 /// Mergers of one group of shards in one zone.
 struct GroupMergers {
-  /// Gateways that every root asks first, best first. There are only few owners, independent of the
-  /// size of the fleet: this keeps their connections to the leafs warm, lets them learn from all of
-  /// the group's traffic, and gives each a large part of the budget for extra sub-requests.
+  /// Gateways that every root tries first, best first. There are only few owners, independent of
+  /// the size of the fleet: this keeps their connections to the leafs warm, lets them learn from
+  /// all of the group's traffic, and gives each a large part of the budget for extra sub-requests.
   std::vector<std::string> owners;
-  /// Gateways asked if no owner is available.
+  /// Gateways tried if no owner is available.
   std::vector<std::string> backups;
 };
 
--- a/src/limits/limit_messages.h
+++ b/src/limits/limit_messages.h
@@ -13,7 +13,7 @@
 enum class LimitStatus {
   /// A token was taken; the request may start.
   kGranted,
-  /// A lender was asked; a LimitDecision with the request's id follows.
+  /// A limit request was sent to a lender; a LimitDecision with the request's id follows.
   kWaiting,
   /// The request exceeds the limit, or no lender could confirm that it does not.
   kRefused,
--- a/src/node/node_server.h
+++ b/src/node/node_server.h
@@ -36,8 +36,8 @@
   uint64_t seed = 1;
   /// Requests in progress beyond which new ones are refused.
   size_t max_in_progress = 20000;
-  /// Refuses requests once the configuration has not been proved current for this long (brief: in
-  /// force everywhere within seconds). Zero: goes on with the last known configuration.
+  /// Refuses requests once the configuration has not been proved current for this long, as changes
+  /// must be in force everywhere within seconds. Zero: continues with the last known configuration.
   Duration max_config_age{};
   /// Admits no request before the platform's list was read or `knobs.first_report_timeout` has
   /// passed.
--- a/src/query/extra_load_priority.h
+++ b/src/query/extra_load_priority.h
@@ -5,7 +5,7 @@
 //
 // Several gateways work on one gather, each with its own budget, and a gather that one of them
 // abandons fails as a whole. The choice between gathers therefore depends only on the request ID,
-// so that all gateways choose alike without communication (as WeChat's DAGOR does between services:
+// so that all gateways choose the same without communication (as DAGOR of WeChat between services:
 // Zhou et al., "Overload Control for Scaling WeChat Microservices", 2018).
 #pragma once
 
--- a/src/query/request_execution.h
+++ b/src/query/request_execution.h
@@ -50,9 +50,9 @@
   double hedge_median_factor = 0;
   /// Also charges the budget for sub-requests that replace refused ones.
   bool charge_replacements = false;
-  /// Retries a leaf that refused although it has room after a short pause, as long as the budget
-  /// and its priority (extra_load_priority.h) allow it. For gathers, whose other shards may have
-  /// run meanwhile; otherwise the refusal is returned to the caller at once.
+  /// Retries a leaf that refused although it has room, after a short pause, as long as the budget
+  /// and its spending order (extra_load_priority.h) allow it. For gathers, whose other shards may
+  /// have run meanwhile; otherwise the refusal is returned to the caller at once.
   bool retry_refusing_leafs = false;
   /// With `retry_refusing_leafs`: rank of this request among those that compete for the budget.
   double rank = 0;
--- a/src/query/shared_gather.cc
+++ b/src/query/shared_gather.cc
@@ -122,7 +122,7 @@
   Group& group = groups_[index];
   const bool has_working = WorkingQuery(&group) != nullptr;
   const uint32_t max_attempts = std::max(1U, plan_.max_attempts);
-  // A merger that was asked and has not answered counts as having sent once.
+  // A merger that was sent the query and has not answered counts as having sent once.
   const uint32_t attempts_used = group.attempts_used + (has_working ? 1 : 0);
   const bool await_confirmation = attempts_used > 0;
   const bool may_ask =
--- a/src/query/shared_gather.h
+++ b/src/query/shared_gather.h
@@ -3,14 +3,14 @@
 // combined. This is the side of the gateway that the client is connected to. Events in, actions
 // out; no socket, clock or thread.
 //
-// The limit on attempts per shard holds although a merger may stop, freeze or be slow at any time.
+// The limit on attempts per shard holds although a merger may stop, pause or be slow at any time.
 // The first merger of a group accepts its partial query and sends once to each shard; it sends
 // again only after its acceptance was confirmed. If it does not answer, other mergers are put on
 // standby: they accept as well, but send nothing before they are confirmed, so that any number of
-// them may be asked without using up an attempt. The first merger to answer gets the group. If that
-// is the first merger, it goes on with all attempts. If it is one on standby, it is confirmed with
-// one attempt less, and the first merger is never confirmed any more. After a confirmation all
-// attempts count as used.
+// them may get the query without using up an attempt. The group is assigned to whichever answers
+// first. If that is the first merger, it continues with all attempts. If it is one on standby, it
+// is confirmed with one attempt less, and the first merger can no longer be confirmed. After a
+// confirmation all attempts count as used.
 #pragma once
 
 #include <cstdint>
@@ -42,7 +42,7 @@
   /// one is put on standby.
   Duration accept_timeout = Milliseconds(20);
   /// A merger that has accepted and then sends nothing for this long is abandoned. Mergers send a
-  /// message at least every GatewayKnobs::sign_of_life.
+  /// message at least every GatewayKnobs::progress_interval.
   Duration silence_limit = Milliseconds(200);
   /// Maximum number of mergers tried for one group.
   size_t max_mergers = 5;
--- a/src/sim/node_host.h
+++ b/src/sim/node_host.h
@@ -34,8 +34,8 @@
   bool stopping() const { return stopped_ != nullptr; }
 
   void Ask(RequestId id, const query::CallerRequest& request);
-  /// Delivers a reply. Replies to a previous incarnation are delivered, too; the node must tell
-  /// them apart by their ids.
+  /// Delivers a reply. Replies to a previous incarnation are delivered, too; the node must
+  /// distinguish them by their ids.
   void Reply(const query::LeafReply& reply);
   void Health(const std::string& leaf, bool draining);
   void PlatformLeaving(const std::set<std::string>& leafs);
--- a/src/sim/world.h
+++ b/src/sim/world.h
@@ -39,7 +39,7 @@
   size_t control_machines = kFounders;
 };
 
-/// Separates a query from an attempt number, by which the checks tell attempts apart. The attempt
+/// Separates a query from an attempt number, by which the checks distinguish attempts. The attempt
 /// number is not part of the request's identity.
 inline constexpr char kAttemptMarker = '#';
 /// Returns the identity of a request without its attempt number; the caller is not part of it.
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -77,7 +77,8 @@
   std::string node;
   uint64_t incarnation = 0;
   uint64_t version = 0;
-  /// Set until the node has received its first configuration. The receiver must then ask a quorum.
+  /// Set until the node has received its first configuration. The receiver must then query a
+  /// quorum.
   bool starting = false;
   /// The node's own clock in microseconds, echoed by the feed that answers this hello.
   uint64_t sent = 0;
@@ -256,9 +257,9 @@
   bool stop_work = false;
 };
 
-/// Confirms that the sender of a partial query knows it was accepted and will not ask another
-/// gateway. From then on each shard may get up to `max_attempts` sub-requests. Before it gets one,
-/// or none with `await_confirmation`.
+/// Confirms that the sender of a partial query knows it was accepted and will not send it to
+/// another gateway. From then on each shard may get up to `max_attempts` sub-requests; before that
+/// only one, or none with `await_confirmation`.
 struct PartialConfirm {
   uint64_t id = 0;
 };
--- a/test/config/committed_incarnations_test.cc
+++ b/test/config/committed_incarnations_test.cc
@@ -1,4 +1,4 @@
-// Tests how the replicated state tells incarnations of a leaf apart.
+// Tests how the replicated state distinguishes incarnations of a leaf.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "common/json.h"
--- a/test/gateway/gateway_allowance_test.cc
+++ b/test/gateway/gateway_allowance_test.cc
@@ -1,4 +1,4 @@
-// Use of the allowance of extra sub-requests when it is nearly spent.
+// Use of the budget for extra sub-requests when it is nearly spent.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "gateway/gateway_harness.h"
@@ -16,7 +16,7 @@
   return options;
 }
 
-/// A gateway with three shards and two leafs each. The allowance is divided by two: itself and one
+/// A gateway with three shards and two leafs each. `allowance` is divided by two: itself and one
 /// spare gateway.
 struct LowAllowance {
   explicit LowAllowance(double allowance, double ratio = 0) : h(WithAllowance(allowance, ratio)) {
@@ -97,7 +97,7 @@
     CPPUNIT_ASSERT(g.h.answers.empty());
   }
 
-  /// Guards against spending the allowance that other requests need for retries on a request that
+  /// Guards against spending the budget that other requests need for retries on a request that
   /// may crash its leafs.
   void RequestThatLosesLeafsLeavesAllowanceToOthers() {
     LowAllowance g(/*allowance=*/4);
--- a/test/gateway/gateway_sharing_test.cc
+++ b/test/gateway/gateway_sharing_test.cc
@@ -463,7 +463,7 @@
     CPPUNIT_ASSERT_EQUAL(long{2}, std::count_if(s.h.sends.begin(), s.h.sends.end(), is_first));
   }
 
-  /// The root may have abandoned this merger and asked another one.
+  /// The root may have abandoned this merger and tried another one.
   void MergerSendsOnceUntilItIsConfirmed() {
     Sharing s;
     s.h.Report({GatewayHarness::Leaf("a1", Service(Sharing::FirstOfOwned())),
--- a/test/gateway/gateway_tenants_test.cc
+++ b/test/gateway/gateway_tenants_test.cc
@@ -210,7 +210,7 @@
     KeyedSharing k;
     k.h.AskWithKey("/all/1", kKey);
     CPPUNIT_ASSERT(k.PartialQueries().size() > 1);
-    // No merger answers, so others are asked.
+    // No merger answers, so others are tried.
     const size_t first = k.PartialQueries().size();
     k.h.Pass(Milliseconds(300));
     CPPUNIT_ASSERT(k.PartialQueries().size() > first);
--- a/test/gateway/merger_placement_test.cc
+++ b/test/gateway/merger_placement_test.cc
@@ -95,7 +95,7 @@
   }
 
   /// Guards against too many owners: a thousand gateways that each merged a few requests a minute
-  /// had cold connections and too small a share of the allowance to pay for any sub-request.
+  /// had cold connections and too small a share of the budget to pay for any sub-request.
   void NumberOfOwnersIsIndependentOfTheFleet() {
     for (const size_t gateways : {3, 50, 200, 1500}) {
       for (const GroupMergers& group : AssignMergers(Names("s", 10), Names("g", gateways))) {
