--- a/src/control/leaf_committer.h
+++ b/src/control/leaf_committer.h
@@ -60,8 +60,8 @@
   MemberId self_;
   Timestamp started_;
   /// Whether the leafs of the registry were checked since the start of this machine. After that, a
-  /// leaf committed by another machine is proposed only once after each heartbeat; otherwise two
-  /// machines would keep taking a leaf that has moved from each other.
+  /// leaf committed by another machine is proposed only once after each heartbeat; otherwise, after
+  /// a leaf has moved, two machines would commit it as theirs in turns.
   bool checked_registry_ = false;
   /// Leafs that were removed from the registry and not proposed to be forgotten yet.
   std::set<std::string> removed_;
--- a/src/control/quarantine_manager.h
+++ b/src/control/quarantine_manager.h
@@ -71,7 +71,7 @@
                                                    const config::ConfigState& committed,
                                                    bool leads);
   void UpdateSuspects();
-  /// Updates since when this machine has known each request to be stopped.
+  /// Updates the times since which this machine knows the stopped requests.
   void UpdateStopped(Timestamp now, const config::ConfigState& committed);
   Duration HoldDuration(const config::QuarantineRecord& record) const;
 
--- a/src/gateway/gateway_control.cc
+++ b/src/gateway/gateway_control.cc
@@ -47,7 +47,7 @@
     const Duration by_size = knobs.presence_interval_per_gateway * static_cast<int64_t>(gateways_);
     return std::clamp(by_size, knobs.presence_interval, knobs.max_presence_interval);
   }
-  // While the set of gateways changes, updates are requested more frequent from the followed
+  // While the set of gateways changes, updates are requested more often from the followed
   // control machine.
   const bool changing = now - peers_changed_ < knobs.peers_settle_time;
   const bool frequent = table_ == nullptr || changing;
--- a/src/gateway/gateway_merging.cc
+++ b/src/gateway/gateway_merging.cc
@@ -277,7 +277,7 @@
   const Timestamp report_due =
       std::max(job.report_at, job.last_reply + options_.knobs.report_interval);
   const Timestamp progress_due = job.last_reply + options_.knobs.progress_interval;
-  // The whole gather may fail because of this group, so the root has to learn of it early.
+  // The whole gather may fail because of this group, so the root is notified early.
   const bool gather_may_fail = !job.unreported_gaps.empty() && job.gaps > job.max_missing &&
                                now >= job.last_reply + options_.knobs.report_interval;
   const bool report = gather_may_fail || (!job.unreported.empty() && now >= report_due);
--- a/src/gateway/gateway_server.h
+++ b/src/gateway/gateway_server.h
@@ -279,8 +279,8 @@
   const limits::TenantLimits& limits() const { return gate_.limits(); }
   uint64_t config_version() const { return subscriber_.config().version().value; }
   Duration ConfigAge(Timestamp now) const { return subscriber_.Age(now); }
-  /// Returns whether requests with keys may start as far as the age of the keys is concerned; true
-  /// if no route needs keys.
+  /// Returns whether the keys held here were proven current recently enough for requests with keys
+  /// to start; true if no route needs keys.
   bool KeysProven(Timestamp now) const;
 
  private:
@@ -290,7 +290,7 @@
     routing::WeightedChoice choice;
     /// Longest deadline sent by a client of this route.
     Duration max_client_deadline{};
-    /// Number of requests counted for it.
+    /// Number of requests from which `max_client_deadline` was taken.
     uint64_t deadline_samples = 0;
     /// Arrival times of the shard results, if gathers are shared; created for the first answer.
     std::optional<query::ArrivalCurve> arrivals;
@@ -492,8 +492,8 @@
   /// mergers.
   policy::QueryPlan SharedPlanFor(const routing::Route& route, const PayloadRequest& request,
                                   size_t groups) const;
-  /// Returns how long before an answer may be due mergers report available results: the round trip
-  /// to them plus the processing time of their answers.
+  /// Returns how long before the due time of a partial answer the mergers start to report results:
+  /// the round trip to them plus the time for processing their answers.
   Duration ReportLead(size_t groups) const;
   /// Starts a shared gather. @return false if the request cannot or need not be shared.
   bool StartShared(Timestamp now, RequestId id, Active* active, Timestamp arrived);
--- a/src/limits/account_terms.h
+++ b/src/limits/account_terms.h
@@ -42,7 +42,7 @@
 uint32_t PartCount(const tenants::Tenant& tenant);
 
 /// Returns the terms of each of a tenant's accounts.
-/// @param tenant limited. @param bound with a window above zero.
+/// @param tenant has a limit. @param bound with a window above zero.
 AccountTerms TermsOf(const LimitBound& bound, const tenants::Tenant& tenant);
 
 /// Returns the maximum number of requests in a window that one account allows, including its
--- a/src/quarantine/crash_evidence.h
+++ b/src/quarantine/crash_evidence.h
@@ -41,9 +41,9 @@
   /// a client that has sent several attempts is present with all of them ...
   size_t time_points = 2;
   Duration time_point_gap = Milliseconds(500);
-  /// ... and it was running at this share of the leafs of its services that crashed in the
-  /// meantime. Crashes with exactly one other candidate are left out: several requests may be fatal
-  /// at the same time.
+  /// ... and it was running at this share of the leafs of its services that crashed between its
+  /// first and last crash. Crashes of which another request is the only candidate are not counted,
+  /// because several requests may be fatal at the same time.
   double share = 0.5;
 };
 
--- a/src/registry/leaf_registry.h
+++ b/src/registry/leaf_registry.h
@@ -126,7 +126,7 @@
   RegistryOptions options_;
   std::map<std::string, Entry> leafs_;
   /// Leafs by the version of their last change. Hundreds of gateways poll several times a second,
-  /// so that only the changed leafs may be visited.
+  /// so each poll must visit only the changed leafs.
   std::map<uint64_t, std::string> by_change_;
   /// The accepted leaf of `leafs_` at each address.
   std::map<std::string, std::string> holders_;
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -77,8 +77,7 @@
   std::string node;
   uint64_t incarnation = 0;
   uint64_t version = 0;
-  /// Set until the node has received its first configuration. The receiver must then query a
-  /// quorum.
+  /// Set until the node has its first configuration. The receiver must then query a quorum.
   bool starting = false;
   /// The node's own clock in microseconds, echoed by the feed that answers this hello.
   uint64_t sent = 0;
